--- a/tests/policy_rollout/test_policy_rollout_document.py
+++ b/tests/policy_rollout/test_policy_rollout_document.py
@@ -1,4 +1,4 @@
-"""Policy documents: accepted ones, the errors of others, the laws of `stricter` and `fallback_limits`."""
+"""Policy documents: parsing, errors, and the algebraic laws of `stricter` and `fallback_limits`."""
 
 import json
 from pathlib import Path
@@ -143,7 +143,7 @@
     assert stricter(a, b) == stricter(b, a)
     assert stricter(a, stricter(b, c)) == stricter(stricter(a, b), c)
     assert stricter(a, a) == a
-    assert stricter(stricter(a, b), a).values == stricter(a, b).values  # tighter than either
+    assert stricter(stricter(a, b), a).values == stricter(a, b).values  # at least as strict as a
 
 
 @settings(max_examples=100, deadline=None)
@@ -151,7 +151,7 @@
 def test_laws_of_all_keys(a, b):
     assert stricter(a, b) == stricter(b, a)
     assert stricter(a, a) == a
-    assert fallback_limits(a) == stricter(fallback_limits(a), a)  # a floor is tighter than its own
+    assert fallback_limits(a) == stricter(fallback_limits(a), a)  # stricter than the document
     assert {path for path, _ in fallback_limits(a).values} == {path for path, _ in a.values}
     assert with_defaults(Document(), a) == a
     assert with_defaults(a, a) == a
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -1,4 +1,4 @@
-"""Policy rollouts over real sockets: three front ends, operators' files, calls in flight, restarts."""
+"""Policy rollouts in three front ends with real sockets: operators' files, open calls and restarts."""
 
 import json
 import subprocess
@@ -20,19 +20,19 @@
 
 @pytest.fixture
 def site(request, tmp_path):
-    made = Site(tmp_path, **getattr(request, "param", {}))
-    yield made
-    made.close()
+    site = Site(tmp_path, **getattr(request, "param", {}))
+    yield site
+    site.close()
 
 
 def test_a_proposal_comes_into_force_at_all_and_is_applied_to_their_parts(site):
     site.begin()
     a, b, c = site.nodes
     classes = {"view": {"promise_ms": 400.0, "give_up_ms": 2_000.0}}
-    wanted = document(12.0, classes=classes, admission={"a": 0.5}, spill={"b": 0.25}, staging={})
-    b.request(5, propose=wanted)
-    site.until(lambda: site.in_force(1), "it is in force at all")
-    site.until(lambda: b.outcome(5).state == "in force", "the outcome is known where it was said")
+    proposed = document(12.0, classes=classes, admission={"a": 0.5}, spill={"b": 0.25}, staging={})
+    b.request(5, propose=proposed)
+    site.until(lambda: site.in_force(1), "the policy is in force at all front ends")
+    site.until(lambda: b.outcome(5).state == "in force", "the outcome is known at the origin")
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
         assert node.part.running.applier.classes["view"].deadline_ms == 2_000.0
@@ -41,17 +41,17 @@
         assert node.zones.plan_application.total_quota_rps == 12.0
         assert node.part.active_policy.digest == b.part.active_policy.digest
     client = site.client(c)
-    client.call(ttl="8000")  # by the settings' time, which the client knows
-    site.until(lambda: c.front.requests.open, "it is taken")
+    client.call(ttl="8000")  # within the configured deadline, but beyond the policy's
+    site.until(lambda: c.front.requests.open, "the call is accepted")
     [request] = c.front.requests.open.values()
     assert request.call.budget_ms == 2_000.0
     client.call(ttl="10500")
-    site.until(client.kinds, "one that would wait for longer than any of both is none")
+    site.until(client.kinds, "a call beyond both deadlines is rejected")
     assert client.kinds() == {2: "exception"}
     a.request(1, back=True)
-    site.until(lambda: site.in_force(2), "the policy before is back")
+    site.until(lambda: site.in_force(2), "the previous policy is in force again")
     assert c.part.running.applier.classes["view"].deadline_ms == 9_000.0
-    site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
+    site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "the configured quota applies")
     assert a.front._call_limits["policy"] == 1e9
     assert a.zones.plan_application.spillover_limits == {}
     assert a.zones.plan_application.total_quota_rps == 30.0
@@ -64,17 +64,17 @@
     client.call(call="00000000000000aa")
     site.until(lambda: node.scorer.runs, "the call runs")
     node.request(1, propose=document(21.0))
-    site.until(lambda: site.in_force(1), "a change in the middle of it")
+    site.until(lambda: site.in_force(1), "the policy changes during the call")
     client.call(call="00000000000000bb")
     site.until(lambda: len(node.scorer.runs) == 2, "the next one runs")
     assert sorted(by.number for by in node.part.member.holder.policy_by_call.values()) == [0, 1]
     for run in node.scorer.runs:
         node.scorer.answer(run)
-    site.until(lambda: len(client.kinds()) == 2, "both are answered")
-    gone = client.call(call="00000000000000cc")
-    site.until(lambda: len(node.scorer.runs) == 3, "one more runs")
-    client.withdraw(gone)
-    site.until(lambda: not node.front.requests.open, "its client has left")
+    site.until(lambda: len(client.kinds()) == 2, "both calls are answered")
+    withdrawn = client.call(call="00000000000000cc")
+    site.until(lambda: len(node.scorer.runs) == 3, "the third call runs")
+    client.withdraw(withdrawn)
+    site.until(lambda: not node.front.requests.open, "the withdrawn call is closed")
     assert not node.part.member.holder.policy_by_call
     assert not len(node.part.call_binding)
     trace = node.folder / "trace.jsonl"
@@ -92,11 +92,11 @@
     site.begin()
     c = site.nodes[2]
     c.request(1, propose={"version": 1, "tenants": {"late": {"quota_rps": 2.0}}})
-    site.until(lambda: c.outcome(1) and c.outcome(1).state == "ended", "it has ended")
-    who, _, why = c.outcome(1).reason.partition(": ")
-    assert who in ("n0", "n1")
-    assert why == "tenants.late: no such tenant"
-    site.until(lambda: not any(node.part.member.holder.prepared for node in site.nodes), "all forget it")
+    site.until(lambda: c.outcome(1) and c.outcome(1).state == "ended", "the proposal has ended")
+    member, _, cause = c.outcome(1).reason.partition(": ")
+    assert member in ("n0", "n1")
+    assert cause == "tenants.late: no such tenant"
+    site.until(lambda: not any(node.part.member.holder.prepared for node in site.nodes), "all discard it")
     assert site.in_force(0)
 
 
@@ -107,48 +107,51 @@
     dead, other = [node for node in site.nodes if node is not leader]
     dead.close()
     other.request(1, propose=document(9.0))
-    site.until(lambda: other.outcome(1) and other.outcome(1).state == "preparing", "it is prepared")
+    site.until(lambda: other.outcome(1) and other.outcome(1).state == "preparing", "members vote on it")
     other.request(2, call_off="not now")
-    site.until(lambda: other.outcome(1).state == "ended", "it has ended")
+    site.until(lambda: other.outcome(1).state == "ended", "the proposal has ended")
     assert other.outcome(1).reason == "cancelled not now"
-    site.until(lambda: site.in_force(0, [leader, other]), "all as before")
+    site.until(lambda: site.in_force(0, [leader, other]), "the live members have leases for document 0")
 
 
 def test_a_member_restarted_during_a_rollout_adopts_the_new_policy_before_it_is_ready(site):
     site.begin()
     leader = site.leader()
-    back, other = [node for node in site.nodes if node is not leader]
-    assert site.ready(back) is True
-    back.request(1, propose=document(9.0))
-    site.until(lambda: back.outcome(1) and back.outcome(1).state != "asked", "the leader has the word")
-    back.close()
-    site.until(lambda: site.in_force(1, [leader, other]), "it comes into force without the dead one")
+    restarted, other = [node for node in site.nodes if node is not leader]
+    assert site.ready(restarted) is True
+    restarted.request(1, propose=document(9.0))
+    site.until(
+        lambda: restarted.outcome(1) and restarted.outcome(1).state != "asked", "the leader has the request"
+    )
+    restarted.close()
+    site.until(lambda: site.in_force(1, [leader, other]), "it is in force without the dead member")
     other.request(1, propose=document(8.0))
-    site.until(lambda: site.in_force(2, [leader, other]), "and the next one")
+    site.until(lambda: site.in_force(2, [leader, other]), "the next policy is in force")
     for node in (leader, other):
         node.close()
-    back.start()
-    assert back.noted("proposal rejected")
-    assert not site.ready(back)
-    site.until(lambda: back.noted("policy: not ready"), "it says what it waits for")
-    client = site.client(back)
+    restarted.start()
+    assert restarted.noted("proposal rejected")
+    assert not site.ready(restarted)
+    site.until(lambda: restarted.noted("policy: not ready"), "the member logs what it waits for")
+    client = site.client(restarted)
     client.call(call="00000000000000dd", ttl="200")
-    site.until(client.kinds, "a call that came anyway is turned away, untouched")
+    site.until(client.kinds, "a call is rejected without reaching the scorer")
     assert client.kinds() == {1: "throttled"}
-    assert not back.scorer.runs
-    told = back.noted("policy: not ready")[0]
-    assert told["voters without policy status"] == sorted(n.name for n in (leader, other))
-    assert back.by()[1] == "waiting"
-    assert back.part.active_policy.document.value("tenants", "acme", "quota_rps") <= 15.0
+    assert not restarted.scorer.runs
+    fields = restarted.noted("policy: not ready")[0]
+    assert fields["voters without policy status"] == sorted(n.name for n in (leader, other))
+    assert restarted.by()[1] == "waiting"
+    assert restarted.part.active_policy.document.value("tenants", "acme", "quota_rps") <= 15.0
     for node in (leader, other):
         node.start()
-    site.until(lambda: back.part.ready, "a leader has told it")
-    assert back.part.member.holder.register.last.number == 2
-    assert site.ready(back) is True
-    site.until(lambda: site.in_force(2), "all go by the last one")
-    lines = [json.loads(line) for line in (back.folder / "trace.jsonl").read_text().splitlines()]
+    site.until(lambda: restarted.part.ready, "a leader has sent the last decided policy")
+    assert restarted.part.member.holder.register.last.number == 2
+    assert site.ready(restarted) is True
+    site.until(lambda: site.in_force(2), "all apply the last policy")
+    lines = [json.loads(line) for line in (restarted.folder / "trace.jsonl").read_text().splitlines()]
     assert [(line["call"][-2:], line["how"]) for line in lines] == [("dd", "waiting")]
-    assert json.loads((back.folder / "zones/policy.json").read_text())["life"] == back.part.incarnation
+    stored = json.loads((restarted.folder / "zones/policy.json").read_text())
+    assert stored["life"] == restarted.part.incarnation
 
 
 BAD = [
@@ -174,14 +177,14 @@
         is_numbered = isinstance(data, dict) and data["number"]
         numbered = data | {"number": 100 + n} if is_numbered else data
         node.write("zones/proposal.json", numbered)
-        site.until(lambda n=n: len(node.noted("proposal rejected")) > n, f"{line} is noted")
+        site.until(lambda n=n: len(node.noted("proposal rejected")) > n, f"{line} is logged")
         assert node.noted("proposal rejected")[n]["error"].startswith(line)
     site.rest(0.5)
     assert len(node.noted("proposal rejected")) == len(BAD)
     assert node.outcome(109).state == "refused"
     assert node.outcome(109).reason.startswith("admission: rejects all calls in every zone")
     node.request(50, propose=document(9.0))
-    site.until(lambda: len(node.noted("proposal rejected")) > len(BAD), "an older number is left aside")
+    site.until(lambda: len(node.noted("proposal rejected")) > len(BAD), "an older number is rejected")
     assert site.in_force(0)
     assert not node.part.member.coordinator.proposal
 
@@ -190,7 +193,7 @@
 def test_a_member_whose_voters_have_no_policy_is_not_ready_and_names_them(site):
     site.start()
     node = site.nodes[2]
-    site.until(lambda: node.noted("policy: not ready"), "it says so")
+    site.until(lambda: node.noted("policy: not ready"), "it logs that it is not ready")
     assert node.noted("policy: not ready")[0]["voters without policy status"] == ["n0", "n1"]
     assert site.ready(node) is False
     assert site.ready(site.nodes[0]) is True
@@ -201,26 +204,26 @@
     site.begin()
     node, other = site.nodes[1], site.nodes[0]
     node.request(1, propose=document(9.0, classes={"view": {"give_up_ms": 5_000.0, "promise_ms": 400.0}}))
-    site.until(lambda: site.in_force(1), "a first change")
+    site.until(lambda: site.in_force(1), "the first policy is in force")
     before = node.part
     node.front.extension.suspend()
     assert node.front.client_port.requests is node.front.requests
     assert node.front.client_port.classes["view"].deadline_ms == 9_000.0
     other.request(1, propose=document(8.0))
-    site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
+    site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "the second policy is in force")
     node.front.extension.resume(node.front)
     assert node.part is not before
     assert not node.front.client_port.accepts_requests
     client = site.client(node)
     client.call(ttl="9000")
-    site.until(lambda: node.part.call_binding.waiting, "a call that comes before it is told is held")
+    site.until(lambda: node.part.call_binding.waiting, "a call waits until the policy is known")
     assert node.front.extension.busy
     assert not node.front.requests.open
-    site.until(lambda: site.in_force(2), "it goes by the last one")
-    site.until(lambda: node.front.requests.open, "it goes on")
+    site.until(lambda: site.in_force(2), "all apply the last policy")
+    site.until(lambda: node.front.requests.open, "the waiting call is submitted")
     [request] = node.front.requests.open.values()
     assert (request.call.context.number, request.call.context.basis) == (2, "leased")
-    site.until(lambda: node.front.router.settings.quotas_rps["acme"] == 8.0, "quotas too")
+    site.until(lambda: node.front.router.settings.quotas_rps["acme"] == 8.0, "the quota is applied")
     assert node.front.client_port.accepts_requests
     assert node.part.incarnation > before.incarnation
 
@@ -234,13 +237,13 @@
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.request(1, propose=strict)
-    site.until(lambda: site.in_force(1), "the stricter one is in force")
+    site.until(lambda: site.in_force(1), "the stricter policy is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
     shares = node.front.extension._parts[1].core.quota_shares
     assert shares.quotas_rps == {"acme": 12.0}
     site.until(
         lambda: {store.class_windows_ms.get("view") for store in stores} == {1_200.0},
-        "the shorter window, later",
+        "the shorter window takes effect",
     )
     assert (
         stores[0].claim_lifetime_ms("view:x")
@@ -248,14 +251,12 @@
         == stores[0].claim_lifetime_ms()
     )
     node.request(2, propose=document(12.0))
-    site.until(lambda: node.by() == (2, "leased"), "the easier one is in force")
+    site.until(lambda: node.by() == (2, "leased"), "the looser policy is in force")
     assert gates[0].modes["view"] == "before"
     assert stores[0].class_windows_ms["view"] == 1_500.0
-    site.until(
-        lambda: {gate.modes["view"] for gate in gates} == {"off"}, "easier once the old window is over"
-    )
+    site.until(lambda: {gate.modes["view"] for gate in gates} == {"off"}, "the looser mode takes effect")
     node.request(3, propose=document(12.0, window_ms={"view": 1_600.0}))
-    site.until(lambda: node.outcome(3), "one that can't be kept")
+    site.until(lambda: node.outcome(3), "a window that can't be kept is refused")
     assert node.outcome(3).reason == "window_ms.view: outside the supported range, 1000 to 1500 ms"
 
 
@@ -263,11 +264,11 @@
     old, new, save = io.ClassSpec("view", 500.0), io.ClassSpec("view", 300.0), io.ClassSpec("save")
     calls = {name: io.RequestArrived(name, "f", "view", "acme", 900.0) for name in ("a", "b", "c")}
     calls["d"] = io.RequestArrived("d", "f", "save", "acme", 900.0)
-    own = {"a": old, "b": old, "c": new, "d": save}
+    bound = {"a": old, "b": old, "c": new, "d": save}
     classes = {"view": old, "save": save}
     batch = [calls["a"], io.ClassChanged(new), calls["b"], calls["c"], calls["d"]]
-    found = with_bound_classes(batch, classes, lambda event: own[event.request])
-    assert found == [
+    events = with_bound_classes(batch, classes, lambda event: bound[event.request])
+    assert events == [
         calls["a"], io.ClassChanged(new), io.ClassChanged(old), calls["b"], io.ClassChanged(new), *batch[3:],
     ]  # fmt: skip
     assert classes["view"] == new
@@ -282,24 +283,24 @@
 
 
 def test_a_trace_that_is_not_flushed_drops_lines_and_counts_them(tmp_path):
-    trace, by = CallTrace(tmp_path / "t"), ActivePolicy(3, "d", Document())
+    trace, policy = CallTrace(tmp_path / "t"), ActivePolicy(3, "d", Document())
     for _ in range(MAX_PENDING_LINES + 5):
-        trace.add("aa", by, 1.0, 2.0)
+        trace.add("aa", policy, 1.0, 2.0)
     trace.flush()
     trace.close()
     assert trace.dropped == 5
     assert (tmp_path / "t").read_bytes().count(b"\n") == MAX_PENDING_LINES
 
 
-def cli(*words):
-    done = subprocess.run(
-        [sys.executable, "-m", "fawnwharf", "policy", *map(str, words)],
+def run_policy_command(*arguments):
+    process = subprocess.run(
+        [sys.executable, "-m", "fawnwharf", "policy", *map(str, arguments)],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    return done.returncode, (done.stdout + done.stderr).strip()
+    return process.returncode, (process.stdout + process.stderr).strip()
 
 
 def test_the_command_line_rejects_a_bad_document_and_writes_a_request(site):
@@ -315,34 +316,34 @@
         (json.dumps(document(spill={"x": 0.5})), "spill.x: no such zone"),
     ]:
         file.write_text(data)
-        status, text = cli("propose", file, "--zones", zones)
+        status, text = run_policy_command("propose", file, "--zones", zones)
         assert status == 2
         assert text.startswith(f"fawnwharf: policy: {file}: {line}")
         assert "\n" not in text
     assert not (node.folder / "zones/proposal.json").exists()
     file.write_text(json.dumps(document()))
-    status, text = cli("propose", file, "--zones", zones, "--wait", "0.2")
+    status, text = run_policy_command("propose", file, "--zones", zones, "--wait", "0.2")
     assert status == 1
     assert "no answer" in text
-    said = s.decode_operator_request((node.folder / "zones/proposal.json").read_bytes())
-    assert said.propose == document()
-    assert cli("check", file, "--zones", zones)[0] == 0
+    request = s.decode_operator_request((node.folder / "zones/proposal.json").read_bytes())
+    assert request.propose == document()
+    assert run_policy_command("check", file, "--zones", zones)[0] == 0
 
 
 def test_the_status_of_a_member_is_read_from_its_log(site):
     site.begin()
     site.nodes[1].request(1, propose=document(9.0))
-    site.until(lambda: site.in_force(1), "a change")
+    site.until(lambda: site.in_force(1), "the policy is in force")
     process = subprocess.Popen(
         [sys.executable, "-m", "fawnwharf", "policy", "show", "--zones", site.nodes[1].folder / "zones.json"],
         stdout=subprocess.PIPE, text=True,
     )  # fmt: skip
     site.until(lambda: process.poll() is not None, "the command ends")
-    told = process.stdout.read()
+    output = process.stdout.read()
     process.stdout.close()
     assert process.returncode == 0
-    assert "ready  number 1" in told
-    assert "request 1" in told
+    assert "ready  number 1" in output
+    assert "request 1" in output
 
 
 @pytest.mark.parametrize(
--- a/tests/policy_rollout/test_policy_rollout_incarnations.py
+++ b/tests/policy_rollout/test_policy_rollout_incarnations.py
@@ -1,4 +1,4 @@
-"""Leases for members whose incarnation numbers have no order: clocks set back, disks lost."""
+"""Leases for a restarted member with a lower incarnation number, after its clock or its disk was reset."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 def leader():
-    """A voter that leads, a lease's time after its term began: it may grant."""
+    """A leading voter that may grant leases: its term began longer ago than a lease lasts."""
     capabilities = DeploymentCapabilities(frozenset(), frozenset(), frozenset({"a"}))
     member = RolloutMember(
         "n0",
@@ -45,11 +45,11 @@
     [grant] = grants(member, now, 9_000, 10.0)
     assert grant.incarnation == 9_000
     assert grant.lease_ms > 0
-    [grant] = grants(member, now + 50.0, 4_000, 5.0)  # without its disk, by a clock of an earlier day
+    [grant] = grants(member, now + 50.0, 4_000, 5.0)  # the disk was lost and the clock set back
     assert grant.incarnation == 4_000
     assert grant.lease_ms > 0
     assert grant.sent_ms == 5.0
-    assert grants(member, now + 60.0, 9_000, 20.0) == []  # what was on its way still
+    assert grants(member, now + 60.0, 9_000, 20.0) == []  # a delayed request
     assert member.dropped["of an earlier incarnation"] == 1
     [grant] = grants(member, now + 70.0, 4_000, 6.0)
     assert grant.incarnation == 4_000
--- a/tests/policy_rollout/test_policy_rollout_simulation.py
+++ b/tests/policy_rollout/test_policy_rollout_simulation.py
@@ -1,4 +1,4 @@
-"""Coordinators and lease holders together in virtual time, and each of them by itself."""
+"""Rollout coordinators and lease holders in the simulation without faults, and each of them alone."""
 
 import pytest
 
@@ -18,16 +18,18 @@
 from fawnwharf.policy_rollout.simulation_types import NO_FAULTS
 
 TIMING = RolloutTiming()
-OLD, NEW = (make_document(n, {("tenants", "t", "quota_rps"): rps}) for n, rps in ((1, 10.0), (2, 20.0)))
+OLD_DOCUMENT, NEW_DOCUMENT = (
+    make_document(number, {("tenants", "t", "quota_rps"): rps}) for number, rps in ((1, 10.0), (2, 20.0))
+)
 
 
-def fleet(size=6, seed=1):
+def started_simulation(size=6, seed=1):
     simulation = Simulation(size, seed, NO_FAULTS)
     simulation.run(10**6, until_ms=3_000.0)
     return simulation
 
 
-def acting(simulation):
+def leased_numbers(simulation):
     return {
         member.holder.register.last.number
         for member in simulation.members.values()
@@ -35,26 +37,29 @@
     }
 
 
-def runs(simulation, ms):
+def run_checked(simulation, ms):
     result = simulation.run(10**6, until_ms=simulation.now_ms + ms)
     assert result.broken == ""
     return result
 
 
 def test_a_change_is_in_force_everywhere_within_round_trips():
-    simulation = fleet()
-    assert acting(simulation) == {0}
+    simulation = started_simulation()
+    assert leased_numbers(simulation) == {0}
     simulation.propose(5)
-    runs(simulation, 100)
-    assert acting(simulation) == {1}
-    assert sum(simulation.has_lease(n) for n in simulation.members.values()) == 6
-    assert {n.holder.policy_at(simulation.now_ms * n.clock_rate).document.value("tenants", "t", "quota_rps")
-            for n in simulation.members.values()} == {5.0}  # fmt: skip
-    simulation.propose(9)  # and back by another change
-    runs(simulation, 100)
+    run_checked(simulation, 100)
+    assert leased_numbers(simulation) == {1}
+    assert sum(simulation.has_lease(member) for member in simulation.members.values()) == 6
+    policies = [
+        member.holder.policy_at(simulation.now_ms * member.clock_rate)
+        for member in simulation.members.values()
+    ]
+    assert {policy.document.value("tenants", "t", "quota_rps") for policy in policies} == {5.0}
+    simulation.propose(9)  # another document, before the first one is proposed again
+    run_checked(simulation, 100)
     simulation.propose(5)
-    runs(simulation, 100)
-    assert acting(simulation) == {3}
+    run_checked(simulation, 100)
+    assert leased_numbers(simulation) == {3}
     assert (
         parse_register(simulation.model.log).last.digest
         == make_document(0, {("tenants", "t", "quota_rps"): 5.0}).digest
@@ -63,58 +68,58 @@
 
 @pytest.mark.parametrize("back_ms", [1_000.0, 6_000.0])
 def test_a_third_of_the_members_restarts_between_prepare_and_decision_or_after(back_ms):
-    simulation = fleet()
+    simulation = started_simulation()
     simulation.propose(5)
     for name in ("f4", "f5"):
         simulation.kill(name, back_ms)
-    runs(simulation, 900)
-    assert acting(simulation) == {0}
+    run_checked(simulation, 900)
+    assert leased_numbers(simulation) == {0}
     assert simulation.model.log == ""
-    runs(simulation, 2_000)
-    assert acting(simulation) == {1}
-    runs(simulation, 6_000)
-    assert acting(simulation) == {1}
-    assert all(simulation.has_lease(n) for n in simulation.members.values())
+    run_checked(simulation, 2_000)
+    assert leased_numbers(simulation) == {1}
+    run_checked(simulation, 6_000)
+    assert leased_numbers(simulation) == {1}
+    assert all(simulation.has_lease(member) for member in simulation.members.values())
 
 
 def test_a_partitioned_member_uses_the_stricter_policy_and_the_next_one_waits_for_its_lease():
-    simulation = fleet()
-    cut = simulation.members["f5"]
+    simulation = started_simulation()
+    partitioned = simulation.members["f5"]
     simulation.propose(5)
     while not simulation.model.log:
         simulation.run(simulation.result.steps + 1)
-    cut.partitioned_until_ms = simulation.now_ms + 60_000.0
-    runs(simulation, 1_000)
-    assert acting(simulation) == {0}
-    assert simulation.has_lease(cut)
-    runs(simulation, 2_000)
-    assert acting(simulation) == {1}
-    assert not simulation.has_lease(cut)
+    partitioned.partitioned_until_ms = simulation.now_ms + 60_000.0
+    run_checked(simulation, 1_000)
+    assert leased_numbers(simulation) == {0}
+    assert simulation.has_lease(partitioned)
+    run_checked(simulation, 2_000)
+    assert leased_numbers(simulation) == {1}
+    assert not simulation.has_lease(partitioned)
     assert (
-        cut.holder.policy_at(simulation.now_ms * cut.clock_rate).basis == "strict"
-    )  # it was asked, and heard no more
+        partitioned.holder.policy_at(simulation.now_ms * partitioned.clock_rate).basis == "strict"
+    )  # it voted for the proposal and received nothing after that
 
 
 def test_any_rejection_ends_a_proposal_everywhere():
-    simulation = fleet()
-    odd = simulation.members["f3"].holder
-    odd.capabilities = DeploymentCapabilities(frozenset(), frozenset(), frozenset())
+    simulation = started_simulation()
+    rejecting_holder = simulation.members["f3"].holder
+    rejecting_holder.capabilities = DeploymentCapabilities(frozenset(), frozenset(), frozenset())
     simulation.propose(5)
-    runs(simulation, 5_000)
+    run_checked(simulation, 5_000)
     assert simulation.model.log == ""
-    assert acting(simulation) == {0}
+    assert leased_numbers(simulation) == {0}
     assert simulation.result.events["ended"] == 1
     assert all(member.holder.prepared is None for member in simulation.members.values())
-    odd.capabilities = CAPABILITIES
+    rejecting_holder.capabilities = CAPABILITIES
     simulation.propose(6)
-    runs(simulation, 100)
-    assert acting(simulation) == {2}  # the number that was ended is not given again
+    run_checked(simulation, 100)
+    assert leased_numbers(simulation) == {2}  # the number of the aborted proposal is not used again
 
 
 def test_changed_members_an_operator_and_time_out_end_a_proposal():
-    said = [m.RolloutLogEvent("ended", {"number": 1, "reason": reason}) for reason in
+    expected_events = [m.RolloutLogEvent("ended", {"number": 1, "reason": reason}) for reason in
             ("the list of members changed", "cancelled late", "no answer from a, b")]  # fmt: skip
-    for n, note in enumerate(said):
+    for index, event in enumerate(expected_events):
         coordinator = RolloutCoordinator(TIMING, ("a", "b"))
         coordinator.lead(0.0, 1, "")
         coordinator.propose(0.0, '{"version":1}')
@@ -127,7 +132,7 @@
         )
         for name in ("a", "b"):
             coordinator.leases[name] = LeaseRecord(0, 1e9)
-        assert ends[n](coordinator)[-1] == note
+        assert ends[index](coordinator)[-1] == event
 
 
 def test_nothing_ends_what_is_proposed_to_the_log():
@@ -136,7 +141,7 @@
     coordinator.propose(0.0, '{"version":1}')
     assert (
         coordinator.receive_vote(1.0, "a", m.Vote(1, 1, 2, 1)) == []
-    )  # the leader before may have granted leases
+    )  # the previous leader may have granted leases
     (decide,) = coordinator.tick(TIMING.max_lease_ms, True)[:1]
     assert isinstance(decide, m.ProposeRegister)
     assert coordinator.cancel()[0].event == "rejected"
@@ -158,30 +163,34 @@
 
 def test_a_new_leader_waits_for_old_leases_unless_the_last_epoch_was_in_force():
     coordinator = RolloutCoordinator(TIMING, ("a", "b"))
-    coordinator.lead(0.0, 2, PolicyRegister(NEW, OLD).encode())
+    coordinator.lead(0.0, 2, PolicyRegister(NEW_DOCUMENT, OLD_DOCUMENT).encode())
     (answer,) = coordinator.receive_lease_request(0.0, "a", m.LeaseRequest(1, 0.0, 2, -1), True)
     assert answer.message.lease_ms == 0.0
     assert coordinator.tick(TIMING.max_lease_ms - 1, True)
     assert not coordinator.is_in_force
     coordinator.tick(TIMING.max_lease_ms, True)
     assert coordinator.is_in_force
-    coordinator.lead(0.0, 3, PolicyRegister(NEW, OLD).encode())
+    coordinator.lead(0.0, 3, PolicyRegister(NEW_DOCUMENT, OLD_DOCUMENT).encode())
     coordinator.receive_lease_request(0.0, "b", m.LeaseRequest(1, 0.0, 2, 2), True)
     assert coordinator.is_in_force
 
 
 def test_a_restarted_holder_adopts_the_newest_policy_whatever_its_disk_has():
-    holder = LeaseHolder(CAPABILITIES, TIMING, 2, PolicyRegister(OLD).encode())
+    holder = LeaseHolder(CAPABILITIES, TIMING, 2, PolicyRegister(OLD_DOCUMENT).encode())
     assert holder.policy_at(0.0).basis == "waiting"
-    assert holder.policy_at(0.0).document.value("tenants", "t", "quota_rps") == 5.0  # half of its disk's
-    grant = m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0, 0, PolicyRegister(OLD).encode())
-    assert holder.receive_grant(1.0, grant) == []  # meant for its earlier life
-    holder.receive_grant(1.0, m.LeaseGrant(1, 1, 2, 0.0, 2, 0.0, 0, PolicyRegister(NEW, OLD).encode()))
+    assert (
+        holder.policy_at(0.0).document.value("tenants", "t", "quota_rps") == 5.0
+    )  # half of the stored quota
+    grant = m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0, 0, PolicyRegister(OLD_DOCUMENT).encode())
+    assert holder.receive_grant(1.0, grant) == []  # meant for an earlier incarnation
+    holder.receive_grant(
+        1.0, m.LeaseGrant(1, 1, 2, 0.0, 2, 0.0, 0, PolicyRegister(NEW_DOCUMENT, OLD_DOCUMENT).encode())
+    )
     assert holder.ready
     assert holder.policy_at(1.0).basis == "strict"
-    assert holder.register.last == NEW
+    assert holder.register.last == NEW_DOCUMENT
     holder.receive_grant(2.0, m.LeaseGrant(1, 1, 2, 1.0, 2, 2_000.0))
-    assert holder.policy_at(2.0).document == NEW
+    assert holder.policy_at(2.0).document == NEW_DOCUMENT
     assert holder.policy_at(2_001.0).basis == "floor"
 
 
@@ -191,23 +200,23 @@
     assert holder.ready
     (vote,) = holder.receive_prepare(1.0, "a", m.Prepare(1, 2, 1, '{"version":1,"shape":{}}'))
     assert vote.message.error == "shape: unknown key"
-    note = holder.receive_decision(1.0, '{"policy":1,"last":{"version":1,"number":1,"shape":{}}}')[0]
-    assert note.fields == {"reason": "shape: unknown key"}
+    event = holder.receive_decision(1.0, '{"policy":1,"last":{"version":1,"number":1,"shape":{}}}')[0]
+    assert event.fields == {"reason": "shape: unknown key"}
     assert not holder.ready
 
 
 def test_a_call_keeps_its_epoch():
     holder = LeaseHolder(CAPABILITIES, TIMING, 1)
-    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 0.0, 0, PolicyRegister(OLD).encode()))
+    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 0.0, 0, PolicyRegister(OLD_DOCUMENT).encode()))
     holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0))
     first = holder.bind_call(1.0, "x")
-    holder.receive_decision(2.0, PolicyRegister(NEW, OLD).encode())
+    holder.receive_decision(2.0, PolicyRegister(NEW_DOCUMENT, OLD_DOCUMENT).encode())
     holder.receive_grant(3.0, m.LeaseGrant(1, 2, 1, 2.0, 2, 2_000.0))
     assert (holder.policy_of_call("x"), holder.bind_call(3.0, "y").document) == (
         first,
-        NEW,
+        NEW_DOCUMENT,
     )
-    assert first.document == OLD
+    assert first.document == OLD_DOCUMENT
     holder.release_call("x")
     assert holder.policy_of_call("x") is None
 
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -1,4 +1,4 @@
-"""Front ends with policy rollouts in this thread: real sockets, real files, one loop after the other."""
+"""Front ends with policy rollouts in one thread, with real sockets and files; their loops take turns."""
 
 import json
 import time
@@ -21,7 +21,7 @@
 
 
 class Node:
-    """One front end: its files, and what runs of it."""
+    """One front end of a site: its files, and the running front end if there is one."""
 
     def __init__(self, site, n, zone, policy=True):
         self.site, self.name, self.zone, self.policy = site, f"n{n}", zone, policy
@@ -33,12 +33,12 @@
         self.front, self.notes = None, []
 
     def entry(self):
-        """Its entry in the file of members."""
+        """The front end's entry in the members file."""
         address, ballots, state = (port.text for port in self.ports)
         return {"name": self.name, "zone": self.zone, "address": address, "ballots": ballots, "state": state}
 
     def start(self):
-        """Start, or start again with the files that are there."""
+        """Start or restart the front end with the present files."""
         event = {"seq": 1, "fleet": {"complete": True, "members": [self.scorer.member(locality=self.zone)]}}
         deployment = deployment_from(
             {
@@ -67,38 +67,38 @@
 
     @property
     def part(self):
-        """The part under test, the last one made."""
+        """The extension under test, which is the one built last."""
         return self.front.extension._parts[-1]
 
     @property
     def zones(self):
-        """Its part for zones."""
+        """The front end's extension for zones."""
         return self.front.extension._parts[0]
 
     def close(self):
-        """Close the front end, if it runs."""
+        """Close the front end if it is running."""
         if self.front is not None:
             self.front.close()
             self.front = None
 
     def noted(self, event):
-        """The fields of the log lines of an event."""
-        return [fields for bootstrap, fields in self.notes if bootstrap == event]
+        """The fields of each log entry of an event."""
+        return [fields for logged_event, fields in self.notes if logged_event == event]
 
     def request(self, number, **request):
-        """Leave an operator's request."""
+        """Write an operator's request to the request file."""
         self.write("zones/proposal.json", {"version": 1, "number": number} | request)
 
     def write(self, name, data):
         """Write a file atomically."""
         path = self.folder / name
         path.parent.mkdir(exist_ok=True)
-        beside = path.with_suffix(".beside")
-        beside.write_bytes(data if isinstance(data, bytes) else json.dumps(data).encode())
-        beside.rename(path)
+        temporary_path = path.with_suffix(".beside")
+        temporary_path.write_bytes(data if isinstance(data, bytes) else json.dumps(data).encode())
+        temporary_path.rename(path)
 
     def outcome(self, number):
-        """The outcome of a request made here; None for an unknown one."""
+        """The outcome of a request made at this front end; None for an unknown request."""
         return next(
             (
                 request.outcome
@@ -109,13 +109,13 @@
         )
 
     def by(self):
-        """The number by which calls are judged here, and how."""
+        """The document number and the basis of the policy that applies to calls now."""
         policy = self.part.active_policy
         return policy.number, policy.basis
 
 
 class Site:
-    """Three front ends, one in each zone, with all that they read."""
+    """Three front ends, one in each zone, with their files and peers."""
 
     patience_s = PATIENCE_S
 
@@ -132,19 +132,19 @@
         bootstrap(self.nodes[0].folder / "zones.json", "n0")
 
     def start(self):
-        """Start all."""
+        """Start all front ends."""
         for node in self.nodes:
             node.start()
 
     def begin(self):
-        """Start all, up to a fleet in which all vote and hold leases."""
+        """Start all front ends and wait until all are voters and have leases."""
         self.start()
         voter = self.nodes[0].zones.core.voter
-        self.until(lambda: len(voter.saved.voters) == 3, "all vote")
-        self.until(lambda: self.in_force(0), "all hold leases")
+        self.until(lambda: len(voter.saved.voters) == 3, "all are voters")
+        self.until(lambda: self.in_force(0), "all have leases")
 
     def turn(self):
-        """Run one iteration of each loop and peer."""
+        """Run one iteration of each event loop and of each peer."""
         for node in self.nodes:
             if node.front is not None:
                 node.front.loop.run_iteration(0.001)
@@ -154,20 +154,20 @@
             client.pump()
 
     def until(self, condition, what):
-        """Run until a condition holds; fails after `patience_s`."""
-        end = time.monotonic() + self.patience_s
+        """Run until a condition holds; after `patience_s` it fails with `what` in the message."""
+        deadline_s = time.monotonic() + self.patience_s
         while not condition():
-            assert time.monotonic() < end, f"waited in vain until {what}: {self.told()}"
+            assert time.monotonic() < deadline_s, f"timed out waiting until {what}: {self.told()}"
             self.turn()
 
     def rest(self, seconds):
         """Run for some seconds."""
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        deadline_s = time.monotonic() + seconds
+        while time.monotonic() < deadline_s:
             self.turn()
 
     def told(self):
-        """The last log lines of each front end, for messages of failures."""
+        """The last log entries of each front end, for failure messages."""
         return [(node.name, node.notes[-8:], node.lines[-3:]) for node in self.nodes if node.front]
 
     def client(self, node):
@@ -176,23 +176,23 @@
         return self.clients[-1]
 
     def ready(self, node):
-        """What a front end answers when it is asked whether it takes work."""
+        """Whether a front end reports to a client that it is ready."""
         client = self.client(node)
         client.status()
-        self.until(lambda: client.answers, "the status comes")
+        self.until(lambda: client.answers, "the status arrives")
         return client.answers[0][2][3]
 
     def leader(self):
-        """The front end that leads, once one does."""
-        self.until(lambda: any(node.part.member.coordinator.term for node in self.nodes), "one leads")
+        """Wait for a leader and return its front end."""
+        self.until(lambda: any(node.part.member.coordinator.term for node in self.nodes), "there is a leader")
         return next(node for node in self.nodes if node.part.member.coordinator.term)
 
     def in_force(self, number, nodes=None):
-        """Whether front ends hold a lease for this number."""
+        """Whether these front ends (default: all) have leases for this document number."""
         return all(node.by() == (number, "leased") for node in nodes or self.nodes)
 
     def close(self):
-        """Close everything."""
+        """Close all front ends, peers, ports and clients."""
         for node in self.nodes:
             node.close()
             for peer in (node.log, node.scorer):
@@ -204,5 +204,5 @@
 
 
 def document(rps=20.0, **more):
-    """A policy with this quota and more."""
+    """A policy document with this quota for tenant acme, and further sections."""
     return {"version": 1, "tenants": {"acme": {"quota_rps": rps}}} | more
