--- a/fawnwharf/policy_rollout/__init__.py
+++ b/fawnwharf/policy_rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rollout of policy documents: which policy front ends decide by, and how it is changed while they run."""
+"""Rollout of policy documents: the policy that front ends apply to calls, and its changes while they run."""
--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -1,4 +1,4 @@
-"""`fawnwharf policy`: shows operators the policy in force, and takes their requests to change it."""
+"""`fawnwharf policy`: shows operators the policy status and submits their requests to change the policy."""
 
 import json
 import time
@@ -25,9 +25,9 @@
 CLASS_SECTIONS = ("classes", "modes", "window_ms")
 TENANT_SECTIONS = ("tenants",)
 
-app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
-File = Annotated[str, typer.Option("--zones", help="The settings of zones that this member serves with.")]
-Wait = Annotated[float, typer.Option("--wait", help="Seconds to wait for the fleet's decision; 0: none.")]
+app = typer.Typer(no_args_is_help=True, help="Show and change the policy that front ends apply to calls.")
+ZonesOption = Annotated[str, typer.Option("--zones", help="The zone settings file of this member.")]
+WaitOption = Annotated[float, typer.Option("--wait", help="Seconds to wait for the outcome; 0: do not wait.")]
 Address = tuple[str, int]
 
 
@@ -54,14 +54,14 @@
     return None if line is None else m.decode_member_status(line["policy"])
 
 
-def _outcome_text(outcome: m.RequestOutcome) -> str:
+def _format_outcome(outcome: m.RequestOutcome) -> str:
     number = f" number {outcome.number}" if outcome.number else ""
     reason = f": {outcome.reason}" if outcome.reason else ""
     return f"{outcome.state}{number}{reason}"
 
 
 @app.command()
-def show(zones: File, member: MemberOption = "") -> None:
+def show(zones: ZonesOption, member: MemberOption = "") -> None:
     """Show a member's status: the last decided policy that it knows, the one in use, the open proposal."""
     try:
         status = read_member_status(log_address(*read_files(zones), member))
@@ -85,7 +85,7 @@
         lines += _leader_lines(status)
     else:
         lines += [
-            f"request {each.request_number}: {_outcome_text(each)}" for each in status.submitted_requests
+            f"request {each.request_number}: {_format_outcome(each)}" for each in status.submitted_requests
         ]
     lines += [f"dropped, {cause}: {count}" for cause, count in sorted(status.dropped.items())]
     return lines
@@ -99,7 +99,7 @@
         missing = ", ".join(status.members_without_vote) or "-"
         lines.append(f"number {status.open_proposal_number} is in progress; votes missing from {missing}")
     lines += [
-        f"request {each.request_number} of {each.origin}: {_outcome_text(each)}"
+        f"request {each.request_number} of {each.origin}: {_format_outcome(each)}"
         for each in status.leader_outcomes
     ]
     return lines
@@ -137,7 +137,7 @@
 
 
 @app.command()
-def propose(file: str, zones: File, wait: Wait = 0.0) -> None:
+def propose(file: str, zones: ZonesOption, wait: WaitOption = 0.0) -> None:
     """Propose a document to the fleet. With --wait, show the outcome: status 0 if it is in force."""
     fleet = _read_fleet(zones)
     document = _read_document(file, fleet.members)
@@ -145,13 +145,15 @@
 
 
 @app.command("call-off")
-def cancel(zones: File, why: Annotated[str, typer.Option("--why")] = "", wait: Wait = 0.0) -> None:
+def cancel(
+    zones: ZonesOption, why: Annotated[str, typer.Option("--why")] = "", wait: WaitOption = 0.0
+) -> None:
     """Cancel the proposal that is being prepared. A decided policy is not affected: see `back`."""
     _submit_request(_read_fleet(zones), {"call_off": why[:MAX_CANCEL_REASON]}, wait, "ended")
 
 
 @app.command("back")
-def roll_back(zones: File, wait: Wait = 0.0) -> None:
+def roll_back(zones: ZonesOption, wait: WaitOption = 0.0) -> None:
     """Roll back to the policy before the last one, as a new proposal."""
     _submit_request(_read_fleet(zones), {"back": True}, wait, "in force")
 
@@ -196,7 +198,7 @@
         for outcome in status.submitted_requests if status else ():
             if outcome.request_number != number:
                 continue
-            last_outcome = _outcome_text(outcome)
+            last_outcome = _format_outcome(outcome)
             if outcome.state in m.FINAL_STATES:
                 typer.echo(last_outcome)
                 raise typer.Exit(0 if outcome.state == expected else 1)
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -7,14 +7,14 @@
 
     {"version": 1, "number": 7,
      "classes": {"gold": {"promise_ms": 300, "give_up_ms": 900}},    milliseconds
-     "tenants": {"acme": {"quota_rps": 200}},                        calls a second, over the fleet
+     "tenants": {"acme": {"quota_rps": 200}},                        calls per second in the whole fleet
      "admission": {"z1": 0.8}, "spill": {"z1": 0.5},                 fractions, by zone
      "modes": {"gold": "before"}, "window_ms": {"gold": 6000},       replication, by class
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
 
 The keys are those of the first version. `promise_ms` is the latency target and `give_up_ms` the deadline of a
-class, `spill` the fraction of a zone that takes spillover, `staging` the limits of prefetching (`free_part`
-of the load budget, `cold_part` of cold scorers' budgets, `memory_mb` at each site).
+class, `spill` the spillover that a zone takes, as a fraction of its size, and `staging` the limits of
+prefetching (`free_part` of the load budget, `cold_part` of cold scorers' budgets, `memory_mb` at each site).
 """
 
 import functools
@@ -37,12 +37,12 @@
 ReplicationMode = Literal["off", "after", "before"]
 Rate = Annotated[float, Meta(ge=0.0, le=10_000_000.0)]
 Value = float | str
-Path = tuple[str, ...]  # ("classes", "gold", "promise_ms"); "*" stands for any name
+KeyPath = tuple[str, ...]  # ("classes", "gold", "promise_ms"); "*" stands for any name
 MODES_BY_STRICTNESS = ("off", "after", "before")  # the strictest last
 
 
 class DocumentError(ValueError):
-    """A document that can't be accepted; the text is 'key: cause' in one line."""
+    """A document that is not valid; the text is 'key: cause' in one line."""
 
 
 def _stricter_mode(one: str, other: str) -> str:
@@ -62,7 +62,7 @@
     halved_in_fallback: bool = False
 
 
-KEY_RULES: dict[Path, KeyRule] = {
+KEY_RULES: dict[KeyPath, KeyRule] = {
     ("classes", "*", "promise_ms"): KeyRule(DurationMs, None),
     ("classes", "*", "give_up_ms"): KeyRule(DurationMs, min),
     ("tenants", "*", "quota_rps"): KeyRule(Rate, min, halved_in_fallback=True),
@@ -77,7 +77,7 @@
 }
 
 
-def _matching_pattern(path: Path) -> Path | None:
+def _matching_pattern(path: KeyPath) -> KeyPath | None:
     """The pattern in `KEY_RULES` that a path matches, in full or as a prefix; None if there is none."""
     for pattern in KEY_RULES:
         if len(path) > len(pattern):
@@ -87,7 +87,7 @@
     return None
 
 
-def _rule_of(path: Path) -> KeyRule:
+def _rule_of(path: KeyPath) -> KeyRule:
     """The rule for a complete path; raises DocumentError for an unknown one."""
     pattern = _matching_pattern(path)
     if pattern is None:
@@ -99,7 +99,7 @@
     """One policy: its document number and its values, sorted by path. Hashable and compared by contents."""
 
     number: Annotated[int, Meta(ge=0, lt=2**53)] = 0
-    values: tuple[tuple[Path, Value], ...] = ()
+    values: tuple[tuple[KeyPath, Value], ...] = ()
 
     def value(self, *path: str) -> Value | None:
         """The value at a path, a number or a text; None if the document does not have the key."""
@@ -150,7 +150,7 @@
         return Document(number, self.values)
 
 
-def make_document(number: int, values: Mapping[Path, Value]) -> Document:
+def make_document(number: int, values: Mapping[KeyPath, Value]) -> Document:
     """Create a document from values by path."""
     return Document(number, tuple(sorted(values.items())))
 
@@ -179,15 +179,15 @@
     number = decoded.get("number", 0)
     if type(number) is not int or not 0 <= number < 2**53:
         raise DocumentError(f"number: {number!r} is not a document number")
-    values: dict[Path, Value] = {}
+    values: dict[KeyPath, Value] = {}
     for name, part in decoded.items():
         if name not in ("version", "number"):
-            _collect((name,), part, values)
+            _collect_values((name,), part, values)
     _check_values(values)
     return make_document(number, values)
 
 
-def _check_values(values: Mapping[Path, Value]) -> None:
+def _check_values(values: Mapping[KeyPath, Value]) -> None:
     """Check the values of one document against each other; raises DocumentError."""
     for path, value in values.items():
         if path[-1] == "quota_rps" and value == 0.0:
@@ -198,7 +198,7 @@
                 raise DocumentError(f"{'.'.join(path)}: longer than give_up_ms")
 
 
-def _collect(path: Path, decoded: Any, values: dict[Path, Value]) -> None:
+def _collect_values(path: KeyPath, decoded: Any, values: dict[KeyPath, Value]) -> None:
     """Add all values below a path to `values`; raises DocumentError."""
     key = ".".join(path)
     pattern = _matching_pattern(path)
@@ -210,7 +210,7 @@
         if not isinstance(decoded, dict):
             raise DocumentError(f"{key}: not an object")
         for name, part in decoded.items():
-            _collect((*path, name), part, values)
+            _collect_values((*path, name), part, values)
         return
     try:
         values[path] = msgspec.convert(decoded, KEY_RULES[pattern].value_type)
@@ -218,7 +218,7 @@
         raise DocumentError(f"{key}: {_one_line(error)}") from None
 
 
-def _check_name(path: Path) -> None:
+def _check_name(path: KeyPath) -> None:
     """Check the last part of a path, the name of a class, tenant or zone; raises DocumentError."""
     try:
         msgspec.convert(path[-1], Name)
@@ -277,7 +277,7 @@
     return None
 
 
-def _incompatible_name(path: Path, capabilities: DeploymentCapabilities) -> str | None:
+def _incompatible_name(path: KeyPath, capabilities: DeploymentCapabilities) -> str | None:
     """The error for a name that the deployment does not have; None if it has the name."""
     kind = NAME_KIND_BY_SECTION.get(path[0])
     if kind is None:
@@ -286,7 +286,7 @@
     return None if path[1] in known else f"{path[0]}.{path[1]}: no such {kind}"
 
 
-def _incompatible_value(path: Path, value: Value, capabilities: DeploymentCapabilities) -> str | None:
+def _incompatible_value(path: KeyPath, value: Value, capabilities: DeploymentCapabilities) -> str | None:
     """Why the deployment can't apply one value; None if it can."""
     key = ".".join(path)
     if path[0] == "modes":
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -122,10 +122,10 @@
 
     def _apply_admission(self, document: Document, total_rps: float) -> None:
         """Limit the call rate to this front end's share of the rate that the zone admits."""
-        part = document.limit("admission", self._zone)
+        fraction = document.limit("admission", self._zone)
         limit_rps: float = io.UNLIMITED_RPS
-        if part is not None and part < 1.0 and (total_rps > 0.0 or part == 0.0):
-            limit_rps = part * total_rps / self._front_end_count
+        if fraction is not None and fraction < 1.0 and (total_rps > 0.0 or fraction == 0.0):
+            limit_rps = fraction * total_rps / self._front_end_count
         if limit_rps != self._limit_rps:
             self._limit_rps = limit_rps
             self._front.limit_calls(ADMISSION_LIMIT_KEY, limit_rps)
@@ -134,9 +134,9 @@
         """Limit the spillover to other zones; the zone plan already applies the limits of the settings."""
         settings = self._zones.settings.spillover
         spill = {
-            name: part
-            for name, part in document.limits("spill").items()
-            if part < settings.fraction_by_zone.get(name, settings.fraction)
+            name: fraction
+            for name, fraction in document.limits("spill").items()
+            if fraction < settings.fraction_by_zone.get(name, settings.fraction)
         }
         self._zones.apply_policy_limits(total_rps, spill)
 
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -55,7 +55,7 @@
     settings: RolloutSettings
     front: FrontEnd
     zones: ZoneService
-    state: ReplicatedCalls | None  # None where no calls are replicated
+    state: ReplicatedCalls | None  # None if calls are not replicated
     file: PolicyFile
     trace: CallTrace | None
     log: WriteEntry
@@ -169,7 +169,7 @@
             self._trace.add(call.hex(), policy, bound_unix_ms, unix_ms())
 
     def events(self, events: list[io.Event]) -> None:
-        """Rebind calls to the class they arrived under, where it changed while they waited in the gate."""
+        """Have calls that waited in the replication gate decided by the classes that they are bound to."""
         if monotonic_ms() < self._rebind_until_ms:
             events[:] = with_bound_classes(events, self._decision_classes, self._bound_class_spec)
 
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -140,7 +140,7 @@
         """Ignore a change of the roster, which does not affect policies."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Rebind calls to the class they arrived under, where it changed while they waited in the gate."""
+        """Have calls that waited in the replication gate decided by the classes that they are bound to."""
         if self._running is not None:
             self._running.events(events)
 
