--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -42,7 +42,10 @@
 
 
 class DocumentError(ValueError):
-    """A document that is not valid; the text is 'key: cause' in one line."""
+    """A document that is not valid; the text is 'key: cause' in one line.
+
+    The texts are sent to other members in votes and statuses and stay as they are.
+    """
 
 
 def _stricter_mode(one: str, other: str) -> str:
@@ -162,7 +165,7 @@
 def parse_document(text: str | bytes) -> Document:
     """Parse a document and check its values, without a deployment; raises DocumentError."""
     if len(text) > MAX_TEXT_LENGTH:
-        raise DocumentError(f"document: {len(text)} characters exceed the limit of {MAX_TEXT_LENGTH}")
+        raise DocumentError(f"document: {len(text)} characters, and {MAX_TEXT_LENGTH} are the most")
     try:
         decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -178,7 +181,7 @@
         raise DocumentError(f"version: {decoded.get('version')!r}, and this program knows {VERSION}")
     number = decoded.get("number", 0)
     if type(number) is not int or not 0 <= number < 2**53:
-        raise DocumentError(f"number: {number!r} is not a document number")
+        raise DocumentError(f"number: {number!r} is none")
     values: dict[KeyPath, Value] = {}
     for name, part in decoded.items():
         if name not in ("version", "number"):
@@ -191,7 +194,7 @@
     """Check the values of one document against each other; raises DocumentError."""
     for path, value in values.items():
         if path[-1] == "quota_rps" and value == 0.0:
-            raise DocumentError(f"{'.'.join(path)}: rejects all calls of tenant {path[1]}")
+            raise DocumentError(f"{'.'.join(path)}: shuts out tenant {path[1]}")
         if path[-1] == "promise_ms":
             give_up_ms = values.get((*path[:2], "give_up_ms"))
             if give_up_ms is not None and float(value) > float(give_up_ms):
@@ -224,7 +227,7 @@
         msgspec.convert(path[-1], Name)
     except msgspec.ValidationError:
         shown = path[-1][:MAX_SHOWN_NAME_LENGTH]
-        raise DocumentError(f"{'.'.join(path[:-1])}: {shown!r} is not a valid name") from None
+        raise DocumentError(f"{'.'.join(path[:-1])}: {shown!r} is no name") from None
 
 
 def _one_line(error: Exception) -> str:
@@ -268,7 +271,7 @@
             return found
     complete = with_defaults(capabilities.configured_defaults, document)
     if capabilities.zones and all(complete.value("admission", zone) == 0.0 for zone in capabilities.zones):
-        return "admission: rejects all calls in every zone"
+        return "admission: shuts out every zone"
     for name in capabilities.classes:
         promise_ms = complete.limit("classes", name, "promise_ms")
         give_up_ms = complete.limit("classes", name, "give_up_ms")
@@ -297,10 +300,10 @@
     if path[0] == "staging" and limit > 0.0 and not capabilities.prefetches:
         return f"{key}: nothing is prefetched here"
     if path[-1] == "give_up_ms" and limit > capabilities.max_give_up_ms:
-        return f"{key}: longer than {capabilities.max_give_up_ms:g} ms, the limit for replicated calls"
+        return f"{key}: longer than the {capabilities.max_give_up_ms:g} that replicated calls may take"
     shortest, longest = capabilities.window_range_ms
     if path[0] == "window_ms" and not shortest <= limit <= longest:
-        return f"{key}: outside the supported range, {shortest:g} to {longest:g} ms"
+        return f"{key}: not from {shortest:g} to {longest:g}, as can be stored here"
     return None
 
 
@@ -377,7 +380,7 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise DocumentError(f"register: not JSON: {_one_line(error)}") from None
     if not isinstance(decoded, dict) or decoded.get("policy") != 1 or "last" not in decoded:
-        raise DocumentError("register: not a policy register of version 1")
+        raise DocumentError("register: none of this version")
     before = decoded.get("before")
     return PolicyRegister(
         document_from_object(decoded["last"]), document_from_object(before) if before else None
--- a/fawnwharf/policy_rollout/operator_requests.py
+++ b/fawnwharf/policy_rollout/operator_requests.py
@@ -152,7 +152,7 @@
         number = coordinator.proposal.number if coordinator.proposal else 0
         effects: list[m.Effect]
         if message.number not in (0, number):
-            reason = f"number {message.number} is not being prepared"
+            reason = f"{message.number} is not being prepared"
             effects = [m.RolloutLogEvent("rejected", {"reason": reason})]
         else:
             effects = coordinator.cancel(message.reason)
@@ -169,9 +169,9 @@
         last, before = coordinator.register.last, coordinator.register.before
         if before is not None and message.number == last.number:
             return self._propose(now_ms, origin, message, before.encode(), coordinator)
-        reason = "there is no earlier policy"
+        reason = "there is none before it"
         if before is not None:
-            reason = f"the last decided number is {last.number}, not {message.number}"
+            reason = f"{last.number} is the last, not {message.number}"
         self._add(origin, message, "refused", 0, reason)
         return [m.RolloutLogEvent("rejected", {"reason": reason})]
 
