--- a/fawnwharf/durable_store/__init__.py
+++ b/fawnwharf/durable_store/__init__.py
@@ -1,1 +1,1 @@
-"""What must outlive a front end, kept on disk: docs/recovery.md."""
+"""Storage on disk of the state that a front end needs after a restart. See docs/recovery.md."""
--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -1,8 +1,8 @@
-"""Decides what is written to disk and when, and when callers are notified. Pure.
+"""Decides what is written to disk and when, and when callers are notified. Does no I/O.
 
-Times come in, jobs go out, their results come in. One job is in progress at a time; changes that arrive
-meanwhile are collected for the next commit group. No log
-is open at first, nor after a failure: then everything is rewritten, a snapshot and then a log, before any
+The caller passes in the time, executes the jobs that it gets, and passes their results back. One job is in
+progress at a time; changes that arrive meanwhile are collected for the next commit group. At the start and
+after a failure, no log is open. All entries are then rewritten, into a snapshot and a new log, before any
 change is reported as being on disk.
 """
 
@@ -48,7 +48,7 @@
         self.number = recovered.position.number  # of the last commit group
         self.synced = self.number
         self.counts: dict[str, int] = {}
-        self.finished = False  # the last group of a graceful shutdown is on disk
+        self.finished = False  # whether the last group of a graceful shutdown is on disk
         self._table = EntryTable(recovered.entries, kinds, limits.state_bytes)
         self._header = header
         self._unix_ms = unix_ms
@@ -57,22 +57,22 @@
 
         self._pending = PendingChanges(limits)
         self._last_ticket = 0
-        self._waiting: dict[int, float] = {}  # tickets of the next group, with their timeouts
-        self._in_progress: dict[int, float] = {}  # tickets of the group that is being written
-        self._unsynced_since_ms: float | None = None  # oldest change, `BEST_EFFORT` aside
+        self._waiting_tickets: dict[int, float] = {}  # tickets of the next group, with their deadlines
+        self._tickets_in_progress: dict[int, float] = {}  # tickets of the group being written, with deadlines
+        self._unsynced_since_ms: float | None = None  # time of the oldest change, `BEST_EFFORT` excluded
 
         self._sequence = recovered.last_sequence
         self._file_names = set(recovered.file_names)
-        self._log = ""  # the log that is open, if any
-        self._log_bytes = 0
-        self._log_from = 0  # the number of its first group
+        self._log = ""  # name of the open log; empty if none is open
+        self._log_bytes = 0  # size of the open log
+        self._log_first_group = 0  # number of the first group in the open log
         self._snapshot_bytes = 0
-        self._synced_in_log = 0  # the last value of `synced` that a record of the log contains
+        self._synced_in_log = 0  # largest value of `synced` that the open log records
         self._synced_ms = 0.0  # when `synced` last changed
 
-        self._rewrite: Rewrite | None = None  # a sequence of jobs that replaces files
-        self._rewrite_answer: JobResult | None = None
-        self._rewrite_is_next = False  # groups and rewrites alternate
+        self._rewrite: Rewrite | None = None  # the steps that replace the files, while this is going on
+        self._rewrite_result: JobResult | None = None
+        self._rewrite_is_next = False  # jobs of groups and of rewrites alternate
         self._step: Step | None = None  # the job in progress
         self._step_is_of_rewrite = False
         self._step_ms = 0.0
@@ -82,7 +82,7 @@
 
     @property
     def entries(self) -> file_format.Entries:
-        """All entries as they were last changed, on disk or not."""
+        """All entries with their latest values, on disk or not."""
         return self._table.entries
 
     def put(self, now_ms: float, kind: str, key: str, value: Any) -> int:
@@ -92,12 +92,12 @@
         """
         durability = self._table.kinds[kind].durability
         data = None if value is None else msgspec.json.encode(value)
-        if data == file_format.DELETED:  # JSON has no other form for NaN
+        if data == file_format.DELETED:  # NaN is encoded as null
             data = None
         if self._shutting_down:
-            raise ChangeRejectedError("the store is ending")
+            raise ChangeRejectedError("the store is shutting down")
         if durability == Durability.SYNCED and self._faults.reason:
-            raise ChangeRejectedError(f"not durable now: {self._faults.reason}")
+            raise ChangeRejectedError(f"changes are not durable now: {self._faults.reason}")
         self._table.change((kind, key), data)
         self._pending.add(now_ms, (kind, key), durability, len(self.entries))
         if self._unsynced_since_ms is None and durability != Durability.BEST_EFFORT:
@@ -105,15 +105,15 @@
         if durability != Durability.SYNCED:
             return 0
         self._last_ticket += 1
-        self._waiting[self._last_ticket] = now_ms + self.limits.wait_ms
+        self._waiting_tickets[self._last_ticket] = now_ms + self.limits.wait_ms
         return self._last_ticket
 
     def shut_down(self) -> None:
-        """Accept no further changes; the next groups write what there is, and the last one says so."""
+        """Accept no further changes; the last group written marks the shutdown as graceful."""
         self._shutting_down = True
 
     def confirm(self) -> None:
-        """Note that other members have confirmed the state found; new files do not mention a repair then."""
+        """Record that other members confirmed the recovered state; new files then mention no repair."""
         self._header = msgspec.structs.replace(self._header, repaired="")
         if self._log and self._rewrite is None:
             self._rewrite = self._rotate()
@@ -121,15 +121,18 @@
     # --- jobs ---------------------------------------------------------------------------------------
 
     def due_ms(self) -> float | None:
-        """When `next_job` or `expire_tickets` has to be called; None: not before something happens."""
-        times: list[float | None] = [*list(self._waiting.values())[:1], *list(self._in_progress.values())[:1]]
+        """Time of the next call of `next_job` or `expire_tickets`; None: after the next change or result."""
+        times: list[float | None] = [
+            *list(self._waiting_tickets.values())[:1],
+            *list(self._tickets_in_progress.values())[:1],
+        ]
         if self._step is None:
             times += [self._group_due_ms(), self._rewrite_due_ms()]
         return min((time for time in times if time is not None), default=None)
 
     @property
     def job_in_progress(self) -> bool:
-        """Whether a job was given out whose result is not known yet."""
+        """Whether `next_job` returned a job whose result has not been passed in yet."""
         return self._step is not None
 
     def _group_due_ms(self) -> float | None:
@@ -152,7 +155,7 @@
         return None if self._log or self.finished else self._faults.retry_ms
 
     def next_job(self, now_ms: float) -> DiskJob | None:
-        """The next job for the disk; None while there is none or one is in progress."""
+        """The next job for the disk; None if there is none or one is still in progress."""
         if self._step is not None:
             return None
         if self._pending.overflowed:
@@ -172,7 +175,7 @@
         return None if step is None else step.job
 
     def finish_job(self, now_ms: float, result: JobResult) -> list[TicketResult]:
-        """Take the result of the job in progress; the tickets that it decides."""
+        """Process the result of the job in progress; return the tickets that it decides."""
         step = self._step
         self._step = None
         if step is None:
@@ -180,7 +183,7 @@
         if result.error:
             return self._fail(now_ms, result.error)
         if self._step_is_of_rewrite:
-            self._rewrite_answer = result
+            self._rewrite_result = result
         if step.opens:
             self._log = step.opens
             self._log_bytes = step.opens_bytes
@@ -193,31 +196,34 @@
         self.synced = step.commits
         self._synced_ms = now_ms
         self._position = FolderPosition(self._header.disk_id, self._header.incarnation, self.synced)
-        self._unsynced_since_ms = self._pending.oldest_owed_ms()
+        self._unsynced_since_ms = self._pending.oldest_durable_ms()
         self.finished = step.is_last
-        tickets = self._in_progress
-        self._in_progress = {}
+        tickets = self._tickets_in_progress
+        self._tickets_in_progress = {}
         return [TicketResult(ticket, True) for ticket in tickets]
 
     def expire_tickets(self, now_ms: float) -> list[TicketResult]:
-        """End the tickets whose timeout is over."""
-        queues = (self._in_progress, self._waiting)
-        expired = [ticket for queue in queues for ticket, timeout_ms in queue.items() if timeout_ms <= now_ms]
+        """Fail the tickets whose deadline has passed."""
+        queues = (self._tickets_in_progress, self._waiting_tickets)
+        expired = [
+            ticket for queue in queues for ticket, deadline_ms in queue.items() if deadline_ms <= now_ms
+        ]
         for ticket in expired:
-            self._in_progress.pop(ticket, None)
-            self._waiting.pop(ticket, None)
+            self._tickets_in_progress.pop(ticket, None)
+            self._waiting_tickets.pop(ticket, None)
         self._count("late", len(expired))
         return [TicketResult(ticket, False, "the disk is slow") for ticket in expired]
 
     def _fail(self, now_ms: float, why: str) -> list[TicketResult]:
-        # A failed sync may have lost earlier data of the same file, and a second sync would not report it.
+        # A failed sync may have lost earlier data of the same file, and a second sync would succeed without
+        # writing it. So the file is abandoned, and all entries are rewritten.
         self._faults.record(now_ms, why)
         self._log = ""
         self._rewrite = None
         self._count("failures", 1)
-        tickets = [*self._in_progress, *self._waiting]
-        self._in_progress = {}
-        self._waiting = {}
+        tickets = [*self._tickets_in_progress, *self._waiting_tickets]
+        self._tickets_in_progress = {}
+        self._waiting_tickets = {}
         self._pending.drop_urgency()
         return [TicketResult(ticket, False, why) for ticket in tickets]
 
@@ -237,7 +243,7 @@
         )
 
     def position(self) -> FolderPosition:
-        """What other members may be sent of how far this folder has come.
+        """The last position that is certain to be on disk, which may be sent to other members.
 
         Its incarnation is 0 until the store is settled.
         """
@@ -245,16 +251,16 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the state found at the start is certain to be on disk.
+        """Whether the state recovered at the start is certain to be on disk.
 
-        What a killed process wrote can be read, but a power loss may still remove it. Until it is rewritten,
-        nothing that other members are sent may rely on it.
+        Data that a killed process wrote can be read, but a power loss may still remove it. Until it has been
+        rewritten, no message to other members may rely on it.
         """
         return self._position.incarnation > 0
 
-    def _count(self, what: str, by: int) -> None:
+    def _count(self, counter: str, by: int) -> None:
         if by:
-            self.counts[what] = self.counts.get(what, 0) + by
+            self.counts[counter] = self.counts.get(counter, 0) + by
 
     # --- commit groups ------------------------------------------------------------------------------
 
@@ -269,7 +275,7 @@
         return Step(DiskJob(tuple(operations)), commits, is_last=is_last)
 
     def _append_group(self, *, is_last: bool = False) -> AppendBytes:
-        """All pending changes under the next number; their tickets are in progress from now on."""
+        """Append all pending changes as the next group; their tickets are in progress from then on."""
         self.number += 1
         changes = [(key, self.entries.get(key)) for key in self._pending.keys]
         data = file_format.encode_group(self.number, self.synced, self._unix_ms(), changes, is_last)
@@ -282,8 +288,8 @@
         return AppendBytes(self._log, data)
 
     def _clear_pending(self) -> None:
-        self._in_progress.update(self._waiting)
-        self._waiting = {}
+        self._tickets_in_progress.update(self._waiting_tickets)
+        self._waiting_tickets = {}
         self._pending.clear()
 
     # --- snapshots and logs -------------------------------------------------------------------------
@@ -291,24 +297,24 @@
     def _next_rewrite_step(self) -> Step | None:
         if self._rewrite is None:
             self._rewrite = self._rewrite_all()
-            self._rewrite_answer = None
-        answer = self._rewrite_answer
-        self._rewrite_answer = None
+            self._rewrite_result = None
+        result = self._rewrite_result
+        self._rewrite_result = None
         try:
-            return self._rewrite.send(answer)
+            return self._rewrite.send(result)
         except StopIteration:
             self._rewrite = None
             return None
 
     def _rewrite_all(self) -> Rewrite:
-        """Write everything into new files, while no log is open."""
+        """Write all entries into a new snapshot and open a new log, while no log is open."""
         self._sequence += 1
         self.number += 1
         number = self.number
         entries = dict(self.entries)
         temporary = {name for name in self._file_names if name.endswith(file_format.TEMPORARY_SUFFIX)}
         self._clear_pending()
-        if temporary:  # on a full disk they may be what fills it
+        if temporary:  # removed first, because they may be what fills a full disk
             yield Step(removal(temporary))
             self._file_names -= temporary
         yield from self._write_snapshot(self._sequence, number, entries)
@@ -316,12 +322,12 @@
         yield from self._remove_older(self._sequence)
 
     def _rotate(self) -> Rewrite:
-        """Open a new log and write a snapshot beside it, while groups are written."""
+        """Open a new log and write its snapshot, while groups are still being written."""
         self._sequence += 1
         sequence = self._sequence
         entries: list[file_format.Entries] = []
         yield from self._open_log(sequence, entries)
-        yield from self._write_snapshot(sequence, self._log_from - 1, entries[0])
+        yield from self._write_snapshot(sequence, self._log_first_group - 1, entries[0])
         yield from self._remove_older(sequence)
 
     def _create_file(
@@ -351,7 +357,8 @@
     def _open_log(self, sequence: int, final_entries: list[file_format.Entries] | None) -> Rewrite:
         """Open a new log.
 
-        A log that is open gets a last group; `final_entries` then receives the entries as they are after it.
+        With `final_entries`, the log that is still open gets a last group, and the entries as of that group
+        are appended to this list.
         """
         name = file_format.log_name(sequence)
         temporary = name + file_format.TEMPORARY_SUFFIX
@@ -361,9 +368,9 @@
             operations = [self._append_group(), SyncFile(self._log)]
             final_entries.append(dict(self.entries))
         commits = self.number if operations else 0
-        self._log_from = self.number + 1
-        data = encode_record(0, msgspec.structs.replace(header, number=self._log_from))
-        self._synced_in_log = self.number  # the new header says as much
+        self._log_first_group = self.number + 1
+        data = encode_record(0, msgspec.structs.replace(header, number=self._log_first_group))
+        self._synced_in_log = self.number  # the first group number in the new header implies it
         operations += [
             AppendBytes(temporary, data),
             SyncFile(temporary),
--- a/fawnwharf/durable_store/crash_simulation.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -1,10 +1,10 @@
-"""Crash simulation of the store: scripted and random runs on a disk in memory, interrupted anywhere.
+"""Crash simulation of the store: scripted and random runs on a disk in memory, interrupted at any point.
 
     python -m fawnwharf.durable_store.crash_simulation --runs 100000 --seed 1
 
-What is found after a power loss has to be the entries as they were when some group was written, no earlier
-than the last one that anybody was notified of. A power loss or a kill is never taken for damage, and a record
-with flipped bits is never accepted.
+After a power loss, the folder must contain exactly the entries as of one commit group. This group must not be
+older than the last one that was reported as being on disk. A power loss or a kill must never be mistaken for
+damage, and a record with flipped bits must never be accepted.
 """
 
 import argparse
@@ -22,25 +22,25 @@
 from fawnwharf.durable_store.simulated_folder import ITERATIONS, InvariantViolationError, SimulatedFolder
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
-OPERATIONS_PER_INCARNATION = 90  # about; power losses and failures are drawn from them
-SHARES = (0.0, 0.5, 0.9, 1.0)  # of what was not synced, that is there after a power loss
-AS_REPORTED = "cut or killed, as it was told"
+OPERATIONS_PER_INCARNATION = 90  # approximate; power losses and failures are drawn from this range
+SURVIVING_SHARES = (0.0, 0.5, 0.9, 1.0)  # share of unsynced data that survives a power loss
+AS_REPORTED = "power loss or kill: state as reported"
 
 
-# --- every point of a scripted run ------------------------------------------------------------------
+# --- a scripted run, interrupted at every point ------------------------------------------------------
 
 
 def run_script(folder: SimulatedFolder) -> None:
-    """The same run each time, with several logs and a graceful shutdown."""
+    """Perform a fixed run with several logs and a graceful shutdown."""
     folder.open()
     folder.run(Random(7), 30)
     folder.shut_down()
 
 
 def interruption_points(step: int = 1) -> Iterator[tuple[int, int]]:
-    """Operation and byte of each power loss.
+    """Yield the operation index and byte offset of each power loss.
 
-    Before each operation (byte -1), and at each `step`-th byte of each append.
+    There is one before each operation (offset -1), and one at every `step`-th byte of each append.
     """
     complete = SimulatedFolder()
     run_script(complete)
@@ -51,22 +51,22 @@
 
 
 def interrupted_run(at: int, byte: int, share: float, second_at: int, mutant: Mutant = UNCHANGED) -> None:
-    """The scripted run, interrupted, and a start after it.
+    """Interrupt the scripted run with a power loss, and start a store again afterwards.
 
-    `second_at` is the operation of a second power loss, during that start; negative: none. Raises
+    A second power loss during this start happens at the operation `second_at`, unless it is negative. Raises
     InvariantViolationError and UnreadableFolderError.
     """
-    chance = Random(at * 1_000_003 + byte)
+    rng = Random(at * 1_000_003 + byte)
     folder = SimulatedFolder(mutant, MemoryDisk(Plan(cut_at=at, cut_byte=byte)))
     with contextlib.suppress(PowerCut):
         run_script(folder)
-    folder.disk = folder.disk.reboot(chance, share)
+    folder.disk = folder.disk.reboot(rng, share)
     folder.check(folder.inspect())
     folder.disk.plan.cut_at = second_at
     with contextlib.suppress(PowerCut):
         folder.open()
-        folder.run(chance, 6)
-    folder.disk = folder.disk.reboot(chance, chance.choice(SHARES))
+        folder.run(rng, 6)
+    folder.disk = folder.disk.reboot(rng, rng.choice(SURVIVING_SHARES))
     folder.check(folder.inspect())
 
 
@@ -74,125 +74,134 @@
 
 
 def random_run(seed: int, mutant: Mutant = UNCHANGED) -> str:
-    """Some incarnations with random faults; says how it ended. Raises InvariantViolationError."""
-    chance = Random(seed)
+    """Run some incarnations with random faults; return the outcome. Raises InvariantViolationError."""
+    rng = Random(seed)
     folder = SimulatedFolder(mutant)
     older_copy: MemoryDisk | None = None
-    for _ in range(chance.randrange(1, 4)):
-        power_lost = _run_incarnation(chance, folder)
+    for _ in range(rng.randrange(1, 4)):
+        power_lost = _run_incarnation(rng, folder)
         if folder.disk.plan.lies_from >= 0:
-            return _end_of_ignored_syncs(chance, folder)
-        killed = not power_lost and chance.random() < 0.4
+            return _outcome_of_ignored_syncs(rng, folder)
+        killed = not power_lost and rng.random() < 0.4
         if killed:
             folder.disk = folder.disk.restart()
         else:
-            folder.disk = folder.disk.reboot(chance, chance.choice(SHARES))
+            folder.disk = folder.disk.reboot(rng, rng.choice(SURVIVING_SHARES))
         folder.check(folder.inspect())
-        older_copy = older_copy or folder.disk.copy(chance.random() < 0.5)
-    last = chance.random()
+        older_copy = older_copy or folder.disk.copy(rng.random() < 0.5)
+    last = rng.random()
     if last < 0.25 and folder.disk.names():
-        return _end_of_flipped_bit(chance, folder)
+        return _outcome_of_flipped_bit(rng, folder)
     if last < 0.4 and older_copy is not None:
-        return _end_of_older_copy(folder, older_copy)
+        return _outcome_of_older_copy(folder, older_copy)
     return AS_REPORTED
 
 
-def _run_incarnation(chance: Random, folder: SimulatedFolder) -> bool:
-    """Whether the power was lost."""
-    folder.disk.plan = _draw_plan(chance, folder.disk)
+def _run_incarnation(rng: Random, folder: SimulatedFolder) -> bool:
+    """Run one incarnation with random faults; return whether the power was lost."""
+    folder.disk.plan = _draw_plan(rng, folder.disk)
     try:
-        folder.open(chance.choice((1, 1, 1, 3, 8)), chance.choice((1_000, 1_000, -9)))
-        folder.run(chance, chance.randrange(1, ITERATIONS))
-        if chance.random() < 0.3:
+        folder.open(rng.choice((1, 1, 1, 3, 8)), rng.choice((1_000, 1_000, -9)))
+        folder.run(rng, rng.randrange(1, ITERATIONS))
+        if rng.random() < 0.3:
             folder.shut_down()
     except PowerCut:
         return True
     return False
 
 
-def _draw_plan(chance: Random, disk: MemoryDisk) -> Plan:
-    """What goes wrong with the disk in one incarnation."""
+def _draw_plan(rng: Random, disk: MemoryDisk) -> Plan:
+    """Choose the disk faults of one incarnation."""
     plan = Plan()
     first = disk.count
-    fault = chance.random()
-    if chance.random() < 0.75:
-        plan.cut_at = first + chance.randrange(OPERATIONS_PER_INCARNATION)
-        plan.cut_byte = chance.randrange(-1, 160)
+    fault = rng.random()
+    if rng.random() < 0.75:
+        plan.cut_at = first + rng.randrange(OPERATIONS_PER_INCARNATION)
+        plan.cut_byte = rng.randrange(-1, 160)
     if fault < 0.2:
-        plan.fail_at = first + chance.randrange(OPERATIONS_PER_INCARNATION)
-        plan.fail_for = chance.choice((1, 1, 2, 6))
+        plan.fail_at = first + rng.randrange(OPERATIONS_PER_INCARNATION)
+        plan.fail_for = rng.choice((1, 1, 2, 6))
     elif fault < 0.3:
-        plan.room = sum(disk.names().values()) + chance.randrange(4_000)
+        plan.room = sum(disk.names().values()) + rng.randrange(4_000)
     elif fault < 0.36:
-        plan.lies_from = first + chance.randrange(OPERATIONS_PER_INCARNATION)
+        plan.lies_from = first + rng.randrange(OPERATIONS_PER_INCARNATION)
     return plan
 
 
-def _end_of_ignored_syncs(chance: Random, folder: SimulatedFolder) -> str:
-    """A disk that confirmed syncs and did nothing: what is read is still only what was written."""
-    folder.disk = folder.disk.reboot(chance, chance.choice(SHARES))
+def _outcome_of_ignored_syncs(rng: Random, folder: SimulatedFolder) -> str:
+    """Check a disk that ignored syncs: changes may be lost, but whatever is read was once written."""
+    folder.disk = folder.disk.reboot(rng, rng.choice(SURVIVING_SHARES))
     try:
         found = folder.inspect()
     except UnreadableFolderError:
-        return "lied: refused"
+        return "ignored syncs: folder rejected"
     folder.check_written(found)
-    if found.position.number >= folder.floor:
-        return "lied: nothing lost"
+    if found.position.number >= folder.last_reported:
+        return "ignored syncs: no reported change lost"
     if not found.fresh and not rollback_reason(found, [folder.reported]):
-        raise InvariantViolationError("lost what was reported, and what other members know does not show it")
-    return "lied: told changes lost, shown by others' word or an empty folder"
+        raise InvariantViolationError(
+            "reported changes are lost, and the positions known to other members do not show it"
+        )
+    return "ignored syncs: reported changes lost, detected by other members' positions or an empty folder"
 
 
-def _end_of_flipped_bit(chance: Random, folder: SimulatedFolder) -> str:
+def _outcome_of_flipped_bit(rng: Random, folder: SimulatedFolder) -> str:
+    """Flip one bit: it must be detected, unless only the last group is lost, which reads as a torn tail."""
     before = folder.inspect()
     if not before.files_read:
         return AS_REPORTED
-    name = chance.choice(before.files_read)
+    name = rng.choice(before.files_read)
     data, _ = folder.disk.read(name)
-    bit = chance.randrange(len(data) * 8)
+    bit = rng.randrange(len(data) * 8)
     folder.disk.flip(name, bit)
     try:
         found = folder.inspect()
     except UnreadableFolderError:
-        return "flipped: refused"
+        return "flipped bit: folder rejected"
     folder.check_written(found)
-    if found.position.number >= folder.floor:
-        return "flipped: nothing told of was in it"
-    floors = [folder.floor_when_written.get(number, 0) for number, _ in search_records(data, bit // 8)]
-    if any(floor > found.position.number for floor in floors):
+    if found.position.number >= folder.last_reported:
+        return "flipped bit: no reported change lost"
+    reported_numbers = [
+        folder.last_reported_when_written.get(number, 0) for number, _ in search_records(data, bit // 8)
+    ]
+    if any(last_reported > found.position.number for last_reported in reported_numbers):
         raise InvariantViolationError(
-            f"a flipped bit is accepted, and a later group was written when {max(floors)} was reported"
+            f"a flipped bit is accepted, although a later record shows that group {max(reported_numbers)} "
+            "was reported"
         )
     if not rollback_reason(found, [folder.reported]):
         raise InvariantViolationError(
-            "a flipped last group is lost, and what other members know does not show it"
+            "the last group is lost by a flipped bit, and the positions known to other members do not show it"
         )
-    return "flipped in the last group: cut as a tail, shown by others' word alone"
+    return "flipped bit in the last group: read as a torn tail, detected only by other members' positions"
 
 
-def _end_of_older_copy(folder: SimulatedFolder, older_copy: MemoryDisk) -> str:
+def _outcome_of_older_copy(folder: SimulatedFolder, older_copy: MemoryDisk) -> str:
+    """Replace the folder by an older copy, which must be detected if a reported change is lost."""
     same_files = older_copy.names() == folder.disk.names()
     folder.disk = older_copy
     try:
         found = folder.inspect()
     except UnreadableFolderError:
-        return "older copy: refused, as its files are others"
+        return "older copy: folder rejected, as its files are copies"
     if found.fresh:
         return "older copy: an empty folder"
     if rollback_reason(found, [folder.reported]):
-        return "older copy: shown by others' word alone"
-    if not same_files and found.position.number < folder.floor:
+        return "older copy: detected only by other members' positions"
+    if not same_files and found.position.number < folder.last_reported:
         raise InvariantViolationError("an older copy is not detected")
-    return "older copy: nothing told of was later"
+    return "older copy: no reported change lost"
 
 
-# --- all of them --------------------------------------------------------------------------------------
+# --- all runs ----------------------------------------------------------------------------------------
 
 
 def check_points(step: int, max_runs: int, mutant: Mutant = UNCHANGED) -> int:
-    """Interrupt the scripted run in all ways; the number of runs. Raises InvariantViolationError."""
+    """Interrupt the scripted run at all points; return the number of runs. Raises InvariantViolationError."""
     count = 0
-    for (at, byte), (index, share) in itertools.product(interruption_points(step), enumerate(SHARES)):
+    for (at, byte), (index, share) in itertools.product(
+        interruption_points(step), enumerate(SURVIVING_SHARES)
+    ):
         if count >= max_runs:
             break
         with mutant.patch(), _named(f"point {at}.{byte} share {share}"):
@@ -202,7 +211,7 @@
 
 
 def check_random(runs: int, seed: int, mutant: Mutant = UNCHANGED) -> dict[str, int]:
-    """Random runs of successive seeds; how many ended how. Raises InvariantViolationError."""
+    """Perform random runs of successive seeds; count them by outcome. Raises InvariantViolationError."""
     ends: dict[str, int] = collections.Counter()
     with mutant.patch():
         for run_seed in range(seed, seed + runs):
@@ -213,7 +222,7 @@
 
 @contextlib.contextmanager
 def _named(name: str) -> Iterator[None]:
-    """Add the name of the run to its error."""
+    """Add the name of the run to the error it raises."""
     try:
         yield
     except (InvariantViolationError, UnreadableFolderError) as error:
@@ -227,21 +236,23 @@
     )
     parser.add_argument("--runs", type=int, default=10_000)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--points", type=int, default=0, help="cuts at each so many bytes; 0: none")
+    parser.add_argument(
+        "--points", type=int, default=0, help="bytes between two power losses of the scripted run; 0: skip it"
+    )
     parser.add_argument("--planted", choices=[*MUTANTS, ""], default="")
     options = parser.parse_args(arguments)
     mutant = MUTANTS.get(options.planted, UNCHANGED)
     start_s = time.monotonic()
     try:
         if options.points:
-            print(f"{check_points(options.points, 10**9, mutant):8} cuts of the scripted run")
+            print(f"{check_points(options.points, 10**9, mutant):8} interruptions of the scripted run")
         for end, count in sorted(check_random(options.runs, options.seed, mutant).items()):
             print(f"{count:8} {end}")
     except InvariantViolationError as error:
-        print(f"broken: {error}")
+        print(f"invariant violated: {error}")
         return 1
     duration_s = time.monotonic() - start_s
-    print(f"{options.runs} runs from seed {options.seed}, {duration_s:.0f} s, nothing broken")
+    print(f"{options.runs} runs from seed {options.seed}, {duration_s:.0f} s, no invariant violated")
     return 0
 
 
--- a/fawnwharf/durable_store/disk_faults.py
+++ b/fawnwharf/durable_store/disk_faults.py
@@ -1,12 +1,12 @@
-"""Why the disk fails, and when it is tried again. Pure."""
+"""The failure state of the disk, and the time of the next attempt. Does no I/O."""
 
 from fawnwharf.durable_store.file_format import StoreLimits
 
-_MAX_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16  # of the retry interval
 
 
 class DiskFaults:
-    """Owns the reason why nothing is durable now, and the exponential backoff of attempts."""
+    """Owns the cause of the current failure, and the exponential backoff between attempts."""
 
     def __init__(self, limits: StoreLimits) -> None:
         self.reason = ""  # empty while the disk works
@@ -15,13 +15,13 @@
         self._failures = 0
 
     def record(self, now_ms: float, why: str) -> None:
-        """Note a failed job."""
+        """Record a failed job, and schedule the next attempt."""
         self.reason = why
         backoff_ms = self._limits.retry_ms * 2 ** min(self._failures, _MAX_DOUBLINGS)
         self.retry_ms = now_ms + min(backoff_ms, self._limits.retry_most_ms)
         self._failures += 1
 
     def clear(self) -> None:
-        """Note that the disk works again."""
+        """Record that the disk works again."""
         self.reason = ""
         self._failures = 0
--- a/fawnwharf/durable_store/entry_table.py
+++ b/fawnwharf/durable_store/entry_table.py
@@ -1,4 +1,4 @@
-"""The entries of a store in memory, with their limits. Pure."""
+"""The entries of a store in memory, with their limits. Does no I/O."""
 
 from collections import Counter
 
@@ -6,14 +6,14 @@
 
 
 class ChangeRejectedError(Exception):
-    """A change that was not accepted; the text says why. Nothing has changed."""
+    """A change was rejected, and the entries are as before. The message gives the reason."""
 
 
 class EntryTable:
-    """Owns the entries and their sizes; rejects changes beyond the limits of their kind or of all."""
+    """Owns the entries and their sizes; rejects changes that exceed the limit of a kind or of the store."""
 
     def __init__(self, entries: Entries, kinds: list[EntryKind], max_bytes: int) -> None:
-        """`max_bytes` limits all entries together. Entries of kinds that are not listed are retained."""
+        """`max_bytes` limits all entries together. Entries of kinds not in `kinds` are kept as they are."""
         self.entries = entries
         self.kinds = {kind.name: kind for kind in kinds}
         self.size_bytes = sum(entry_size(key, value) for key, value in entries.items())
@@ -37,10 +37,10 @@
         kind = self.kinds[key[0]]
         if len(value) > kind.max_value_bytes:
             raise ChangeRejectedError(
-                f"{kind.name}: {len(value)} bytes, and {kind.max_value_bytes} is the most"
+                f"{kind.name}: {len(value)} bytes exceed the limit of {kind.max_value_bytes} per value"
             )
         if is_new and self._counts[kind.name] >= kind.max_entries:
-            raise ChangeRejectedError(f"{kind.name}: {kind.max_entries} entries is the most")
+            raise ChangeRejectedError(f"{kind.name}: the limit of {kind.max_entries} entries is reached")
         if not kind.reserved and growth_bytes > 0 and self.size_bytes + growth_bytes > self._max_bytes:
             raise ChangeRejectedError(f"{kind.name}: {self._max_bytes} bytes in all is the most")
 
--- a/fawnwharf/durable_store/event_loop_store.py
+++ b/fawnwharf/durable_store/event_loop_store.py
@@ -1,4 +1,4 @@
-"""A store driven by the event loop: after each iteration, at its due times, and as its writer answers."""
+"""Runs a store in the event loop: after each iteration, at its due times, and when its writer replies."""
 
 from collections.abc import Callable
 from typing import Any, BinaryIO
@@ -7,7 +7,7 @@
 from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-FULL_PIPE_RETRY_MS = 4.0  # interval of writing to a writer process whose pipe is full
+FULL_PIPE_RETRY_MS = 4.0  # retry interval while the pipe to the writer process is full
 
 LogCallback = Callable[[str, dict[str, Any]], None]
 
@@ -15,7 +15,7 @@
 
 
 class EventLoopStore:
-    """Owns the store's timer and its place in the selector; logs when durability is lost and regained."""
+    """Owns the store's timer and its watch in the event loop; logs when durability is lost and restored."""
 
     def __init__(self, loop: EventLoop, store: Store, log: LogCallback) -> None:
         self.loop = loop
@@ -31,19 +31,19 @@
         loop.schedule_flush(self)
 
     def put(self, kind: str, key: str, value: Any, callback: CommitCallback | None = None) -> None:
-        """`Store.put` now; changes of one iteration are committed together. Raises ChangeRejectedError."""
+        """Call `Store.put`; changes of one iteration are committed together. Raises ChangeRejectedError."""
         self.store.put(monotonic_ms(), kind, key, value, callback)
         self.loop.schedule_flush(self)
 
     def flush(self) -> None:
-        """Advance the store; the loop calls it at the end of an iteration."""
+        """Advance the store. The loop calls this at the end of an iteration."""
         self.store.advance(monotonic_ms())
         now_ms = monotonic_ms()
         self._log_changes(now_ms)
         self._schedule(now_ms)
 
     def close(self, within_ms: float) -> bool:
-        """As `Store.close`, for at most this many milliseconds, during which the loop stands still."""
+        """Call `Store.close`, which blocks the event loop for at most `within_ms`."""
         runner = self.store.runner
         if runner.output is not None:
             self.loop.unwatch(runner.output)
@@ -64,7 +64,7 @@
         due_ms = self.store.due_ms()
         times = [] if due_ms is None else [due_ms]
         if core.job_in_progress:
-            times.append(now_ms + core.limits.slow_ms)  # to notice that it is slow
+            times.append(now_ms + core.limits.slow_ms)  # to report a slow job
         if self.store.runner.unsent:
             times.append(now_ms + FULL_PIPE_RETRY_MS)
         if self._timer is not None:
--- a/fawnwharf/durable_store/folder.py
+++ b/fawnwharf/durable_store/folder.py
@@ -1,4 +1,4 @@
-"""A real folder as the file system of a store, and its lock."""
+"""The file system interface of a store on a real folder, and the lock of the folder."""
 
 import fcntl
 import os
@@ -10,25 +10,25 @@
 from fawnwharf.file_writes import sync_folder, write_all
 
 LOCK_FILE = "durable.lock"
-LOCK_RETRY_S = 0.02
+LOCK_RETRY_S = 0.02  # interval of attempts while another process holds the lock
 
 
 class DiskFolder:
-    """Owns the open files that it created in one folder. See `operations.FileSystem` for the methods."""
+    """Owns the open files that it created in one folder. Implements `operations.FileSystem`."""
 
     def __init__(self, path: str | Path) -> None:
         self.path = Path(path)
         self._descriptors: dict[str, int] = {}
 
     def begin(self, name: str) -> int:
-        """Create or truncate a file; its inode."""
+        """Create or truncate a file; return its inode number."""
         self._close(name)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
         self._descriptors[name] = os.open(self.path / name, flags, 0o600)
         return os.fstat(self._descriptors[name]).st_ino
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file that was begun."""
+        """Append to a file that `begin` opened."""
         write_all(self._descriptors[name], data)
 
     def sync(self, name: str) -> None:
@@ -36,7 +36,7 @@
         os.fsync(self._descriptors[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; a snapshot is closed, as nothing more is written to it."""
+        """Rename a file. A snapshot is complete when it gets its final name, and is closed."""
         os.rename(self.path / old, self.path / new)
         if old in self._descriptors:
             self._close(new)
@@ -45,7 +45,7 @@
             self._close(new)
 
     def sync_folder(self) -> None:
-        """Sync names and removals to disk."""
+        """Sync the folder itself, and so all creations, renames and removals, to disk."""
         sync_folder(self.path)
 
     def remove(self, name: str) -> None:
@@ -54,17 +54,17 @@
         (self.path / name).unlink(missing_ok=True)
 
     def names(self) -> dict[str, int]:
-        """All regular files of the folder, with their sizes in bytes."""
-        found = {}
+        """The names of all regular files in the folder, with their sizes in bytes."""
+        sizes = {}
         with os.scandir(self.path) as entries:
             for entry in entries:
-                about = entry.stat(follow_symlinks=False)
-                if stat.S_ISREG(about.st_mode):
-                    found[entry.name] = about.st_size
-        return found
+                status = entry.stat(follow_symlinks=False)
+                if stat.S_ISREG(status.st_mode):
+                    sizes[entry.name] = status.st_size
+        return sizes
 
     def read(self, name: str) -> tuple[bytes, int]:
-        """A file's content and its inode."""
+        """Read a file; return its content and its inode number."""
         with open(self.path / name, "rb") as file:
             return file.read(), os.fstat(file.fileno()).st_ino
 
@@ -80,10 +80,11 @@
 
 
 def lock_folder(path: Path, *, create: bool = True, within_s: float = 0.0) -> int:
-    """Lock a folder; a descriptor that holds the lock until it and its copies are closed.
+    """Lock a folder; return a file descriptor that holds the lock until it and its duplicates are closed.
 
-    `create` also creates the folder and its lock file; without it, -1 is returned where there is no lock
-    file. A lock that another process holds is tried for `within_s` seconds. Raises DiskError.
+    With `create`, the folder and its lock file are created if necessary. Without it, -1 is returned if there
+    is no lock file. While another process holds the lock, the call retries for `within_s` seconds. Raises
+    DiskError.
     """
     try:
         descriptor = _open_lock_file(path, create=create)
@@ -109,7 +110,7 @@
 
 
 def _acquire(descriptor: int, within_s: float) -> bool:
-    """Whether the lock was free within this time."""
+    """Try to lock the file for `within_s` seconds; return whether that succeeded."""
     deadline_s = time.monotonic() + within_s
     while True:
         try:
@@ -123,6 +124,6 @@
 
 
 def unlock_folder(descriptor: int) -> None:
-    """Release what `lock_folder` returned."""
+    """Release the lock held by a descriptor from `lock_folder`."""
     if descriptor >= 0:
         os.close(descriptor)
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -1,7 +1,8 @@
-"""Interpretation of a folder's files. Pure: the files' bytes in; the folder's state or one error out.
+"""Decodes the state of a folder from the content of its files. Does no I/O.
 
-A power loss leaves a torn tail in the last log and unfinished files, and nothing else. Any other irregularity
-is damage, or belongs to another member, and is rejected with the file's name and the cause.
+A power loss can leave an incomplete last write (a torn tail) in the last log, and temporary files. Any other
+irregularity means that a file is damaged or belongs to another member. Such a folder is rejected, with the
+name of the file and the cause.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,11 +13,11 @@
 from fawnwharf.consensus.records import Record, leading_records, search_records
 from fawnwharf.durable_store import file_format
 
-FileContent = tuple[bytes, int]  # content and inode of a file
+FileContent = tuple[bytes, int]  # content and inode number of a file
 
 
 class UnreadableFolderError(Exception):
-    """A folder that must not be read; `name` is the file, empty for the folder itself, `why` the cause."""
+    """A folder can't be read. `name` is the file (empty: the folder itself), and `why` is the cause."""
 
     def __init__(self, name: str, why: str) -> None:
         super().__init__(f"{name}: {why}" if name else why)
@@ -25,29 +26,29 @@
 
 
 class FolderPosition(Struct, frozen=True):
-    """How far a folder has come. Members exchange it, so that an older copy of a folder is detected."""
+    """The latest position of a folder. Members exchange positions to detect an older copy of a folder."""
 
     disk_id: str = msgspec.field(name="mark")
     incarnation: int = msgspec.field(name="life")
-    number: int  # of the last group that is synced
+    number: int  # of the last synced commit group
 
 
 class FolderState(Struct):
-    """What a folder contains. `fresh`: nothing, as nothing was ever committed in it."""
+    """The content of a folder. `fresh` means that nothing was ever committed in it."""
 
     fresh: bool = True
     fleet: str = ""
     name: str = ""
     entries: file_format.Entries = {}
     position: FolderPosition = FolderPosition("", 0, 0)
-    boot: str = ""  # boot of the machine in which it was last written
-    at_ms: float = 0.0  # when it was last written, by the wall clock of its writer
-    closed_cleanly: bool = False  # its last incarnation shut down gracefully
-    repaired: str = ""  # why it was repaired, unless other members have confirmed it since
+    boot: str = ""  # boot ID of the machine at the last write
+    at_ms: float = 0.0  # Unix time of the last write, in milliseconds, by the writer's clock
+    closed_cleanly: bool = False  # whether the last incarnation shut down gracefully
+    repaired: str = ""  # why it was repaired; empty after other members confirmed it
     last_sequence: int = 0  # the largest sequence number of any file
     file_names: list[str] = []  # all files of the store
-    files_read: list[str] = []  # those that this state was read from
-    torn_bytes: int = 0  # size of a torn tail, which is ignored
+    files_read: list[str] = []  # the files that this state was read from
+    torn_bytes: int = 0  # size of the torn tail, which is ignored
 
 
 class _VersionOnly(Struct):
@@ -55,7 +56,7 @@
 
 
 def files_in_use(names: Iterable[str]) -> list[str]:
-    """The files that a folder's state is read from: the last snapshot and the logs since then."""
+    """Select the files that define a folder's state: the last snapshot and the logs that follow it."""
     complete = [file for file in file_format.store_files(names).values() if file.is_complete]
     snapshots = [file.sequence for file in complete if file.file_kind == file_format.SNAPSHOT]
     logs = [file.sequence for file in complete if file.file_kind == file_format.LOG]
@@ -72,10 +73,11 @@
     *,
     accept_copies: bool = False,
 ) -> FolderState:
-    """Read a folder's state.
+    """Decode a folder's state.
 
-    `files` holds at least the files that `files_in_use` names. An empty `fleet` or `name` accepts any;
-    `accept_copies` also accepts files that were copied. Raises UnreadableFolderError.
+    `files` contains at least the files that `files_in_use` selects from `names`. An empty `fleet` or `name`
+    accepts any. With `accept_copies`, files with another inode number than they record are accepted. Raises
+    UnreadableFolderError.
     """
     own_files = file_format.store_files(names)
     order = files_in_use(own_files)
@@ -84,7 +86,7 @@
     if not order:
         return state
     if own_files[order[0]].file_kind != file_format.SNAPSHOT:
-        raise UnreadableFolderError(order[0], "the snapshot before it is missing")
+        raise UnreadableFolderError(order[0], "the snapshot that precedes it is missing")
     state.fresh = False
     for file_name in order:
         data, inode = files[file_name]
@@ -98,12 +100,12 @@
             number = header.number
         else:
             number = _read_log(file_name, header, data, state)
-        _take_header(state, header)
+        _copy_header_fields(state, header)
         state.position = FolderPosition(header.disk_id, header.incarnation, number)
     return state
 
 
-def _take_header(state: FolderState, header: file_format.FileHeader) -> None:
+def _copy_header_fields(state: FolderState, header: file_format.FileHeader) -> None:
     state.fleet = header.fleet
     state.name = header.name
     state.boot = header.boot
@@ -119,7 +121,7 @@
         known = version == file_format.VERSION
         header = msgspec.json.decode(content, type=file_format.FileHeader) if known else None
     except msgspec.DecodeError as error:
-        raise UnreadableFolderError(file_name, f"no head of durable state: {error}") from None
+        raise UnreadableFolderError(file_name, f"invalid file header: {error}") from None
     if header is None:
         raise UnreadableFolderError(
             file_name, f"version {version}, and this program knows {file_format.VERSION}"
@@ -129,7 +131,9 @@
     if name and header.name != name:
         raise UnreadableFolderError(file_name, f"the disk of member {header.name}, not of {name}")
     if header.file_kind != file_format.store_files([file_name])[file_name].file_kind:
-        raise UnreadableFolderError(file_name, f"holds a {header.file_kind}")
+        raise UnreadableFolderError(
+            file_name, f"the file name does not match its content, a {header.file_kind}"
+        )
     return header
 
 
@@ -149,13 +153,13 @@
 
 
 def _read_log(file_name: str, header: file_format.FileHeader, data: bytes, state: FolderState) -> int:
-    """Apply a log's groups to the state; the number of the last complete group."""
+    """Apply a log's groups to the state; return the number of the last complete group."""
     position = state.position
     if header.disk_id != position.disk_id:
-        cause = f"of the disk {header.disk_id}, beside files of {position.disk_id}"
+        cause = f"of disk {header.disk_id}, but the files before it are of disk {position.disk_id}"
         raise UnreadableFolderError(file_name, cause)
     if header.number != position.number + 1:
-        cause = f"begins with group {header.number}, and {position.number} is the last before it"
+        cause = f"starts with group {header.number}, but the last group before it is {position.number}"
         raise UnreadableFolderError(file_name, f"{cause}: files are missing or damaged")
     records, end = leading_records(data)
     number = _apply_groups(file_name, records, state)
@@ -187,7 +191,7 @@
 def _check_tail(file_name: str, data: bytes, end: int, number: int) -> None:
     """Raise UnreadableFolderError if the tail from byte `end` on is damaged rather than torn.
 
-    It is damaged if a later record says that more than group `number` was already synced.
+    It is damaged if a record in it shows that a group after `number` was already synced.
     """
     for _, content in search_records(data, end):
         try:
@@ -200,13 +204,13 @@
 
 
 def rollback_reason(state: FolderState, reported: Iterable[FolderPosition]) -> str:
-    """Why the folder is an older copy, by the positions that other members report; empty if it is not."""
+    """The evidence that the folder is an older copy, from positions other members report; empty if none."""
     own = state.position
     same_disk = [position for position in reported if position.disk_id == own.disk_id]
     last = max(same_disk, key=lambda position: (position.incarnation, position.number), default=own)
     if (last.incarnation, last.number) <= (own.incarnation, own.number):
         return ""
     return (
-        f"rolled back: stands at life {own.incarnation}, number {own.number}, "
-        f"and others have heard of life {last.incarnation}, number {last.number}"
+        f"rolled back: the folder is at incarnation {own.incarnation}, group {own.number}, "
+        f"but other members know of incarnation {last.incarnation}, group {last.number}"
     )
--- a/fawnwharf/durable_store/mutants.py
+++ b/fawnwharf/durable_store/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the store, which the crash simulation has to detect."""
+"""Mutants of the store: variants with a deliberate bug, which the crash simulation has to detect."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -23,7 +23,7 @@
 
 
 def unchanged(job: DiskJob) -> DiskJob:
-    """The job as it is."""
+    """Return the job as it is."""
     return job
 
 
@@ -32,7 +32,7 @@
 
 
 def _rename_before_sync(job: DiskJob) -> DiskJob:
-    """Rename files first, and sync their content after it."""
+    """Rename files before their content is synced."""
     new_names = {
         operation.old: operation.new for operation in job.operations if isinstance(operation, RenameFile)
     }
@@ -45,7 +45,7 @@
 
 
 def _report_before_sync(job: DiskJob) -> DiskJob:
-    """Report groups once they are written."""
+    """Report groups as being on disk after they are written, without a sync."""
     if any(isinstance(operation, RenameFile) for operation in job.operations):
         return job
     return DiskJob(tuple(operation for operation in job.operations if not isinstance(operation, SyncFile)))
@@ -60,12 +60,12 @@
 
 
 class RetriedSync(StoreCore):
-    """Treats a failed sync as one that can be repeated."""
+    """Repeats a failed sync, as if the data were still in memory."""
 
     _repeated_step: Step | None = None
 
     def finish_job(self, now_ms: float, result: JobResult) -> list[TicketResult]:
-        """Keep a failed step of a group, to repeat its syncs."""
+        """Record a failed step of a group, to repeat its syncs."""
         if result.error and self._step is not None and self._log and not self._rewrite:
             self._repeated_step = self._step
             self._step = None
@@ -73,7 +73,7 @@
         return super().finish_job(now_ms, result)
 
     def next_job(self, now_ms: float) -> DiskJob | None:
-        """The syncs of the step that failed, if one did."""
+        """Return the syncs of the failed step, if there is one."""
         step = self._repeated_step
         self._repeated_step = None
         if step is None:
@@ -85,8 +85,8 @@
         )
 
 
-class UntoldSyncs(StoreCore):
-    """Records no earlier sync in its groups, so that damage reads as a torn tail."""
+class UnrecordedSyncs(StoreCore):
+    """Records no earlier sync in its groups, so that damage is mistaken for a torn tail."""
 
     def _append_group(self, *, is_last: bool = False) -> AppendBytes:
         synced = self.synced
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One fault: a change of jobs, another core, or a patch that is active during a run."""
+    """One bug: changed jobs, a different core, or a patch that is active during a run."""
 
     change_job: JobChange = unchanged
     core: type[StoreCore] = StoreCore
@@ -121,5 +121,5 @@
     "checksum over the number alone": Mutant(patch=_checksum_of_number),
     "older files removed first": Mutant(core=EarlyRemoval),
     "a failed sync done again": Mutant(core=RetriedSync),
-    "damage read as a torn tail": Mutant(core=UntoldSyncs),
+    "damage read as a torn tail": Mutant(core=UnrecordedSyncs),
 }
--- a/fawnwharf/durable_store/operations.py
+++ b/fawnwharf/durable_store/operations.py
@@ -1,6 +1,6 @@
-"""Jobs for a disk, made of a few operations, and the small file system interface that executes them.
+"""Disk jobs, the operations they consist of, and the file system interface that executes them.
 
-Names are those of files within one folder. A job is executed in order, up to the first operation that fails.
+File names are relative to one folder. The operations of a job are executed in order, up to the first failure.
 """
 
 from typing import Protocol
@@ -23,7 +23,7 @@
 
 
 class SyncFile(Struct, frozen=True, tag="Sync"):
-    """Sync a file's content to disk; its name needs `SyncFolder`."""
+    """Sync a file's content to disk. Its name is on disk only after `SyncFolder`."""
 
     name: str
 
@@ -36,11 +36,11 @@
 
 
 class SyncFolder(Struct, frozen=True, tag="SyncFolder"):
-    """Sync the folder itself: names and removals are on disk."""
+    """Sync the folder itself, and so all creations, renames and removals, to disk."""
 
 
 class RemoveFile(Struct, frozen=True, tag="Remove"):
-    """Remove a file, if there is one of this name."""
+    """Remove a file, if it exists."""
 
     name: str
 
@@ -49,7 +49,7 @@
 
 
 class DiskJob(Struct, frozen=True):
-    """Operations that are executed one after the other."""
+    """Operations that are executed in order."""
 
     operations: tuple[DiskOperation, ...] = msgspec.field(name="ops")
 
@@ -57,18 +57,18 @@
 class JobResult(Struct, frozen=True):
     """The result of a job."""
 
-    error: str = msgspec.field(default="", name="failed")  # file and cause; empty on success
-    inode: int = 0  # of the file that was created last, or 0
+    error: str = msgspec.field(default="", name="failed")  # file name and cause; empty on success
+    inode: int = 0  # inode number of the last file created; 0 if none was
 
 
 class FileSystem(Protocol):
     """The files of one folder. Every method may raise OSError."""
 
     def begin(self, name: str) -> int:
-        """Create or truncate a file; its inode."""
+        """Create or truncate a file; return its inode number."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file that was begun."""
+        """Append to a file that `begin` opened."""
 
     def sync(self, name: str) -> None:
         """Sync a file's content to disk."""
@@ -77,20 +77,20 @@
         """Rename a file."""
 
     def sync_folder(self) -> None:
-        """Sync names and removals to disk."""
+        """Sync the folder itself, and so all creations, renames and removals, to disk."""
 
     def remove(self, name: str) -> None:
         """Remove a file, if it exists."""
 
     def names(self) -> dict[str, int]:
-        """All files of the folder, with their sizes in bytes."""
+        """The names of all files in the folder, with their sizes in bytes."""
 
     def read(self, name: str) -> tuple[bytes, int]:
-        """A file's content and its inode."""
+        """Read a file; return its content and its inode number."""
 
 
 def execute_job(files: FileSystem, job: DiskJob) -> JobResult:
-    """Execute a job up to its first operation that fails."""
+    """Execute a job up to the first operation that fails."""
     inode = 0
     for operation in job.operations:
         try:
@@ -99,7 +99,7 @@
             else:
                 _execute(files, operation)
         except OSError as error:
-            return JobResult(f"{_file_of(operation)}: {error.strerror or error}")
+            return JobResult(f"{_file_name(operation)}: {error.strerror or error}")
     return JobResult("", inode)
 
 
@@ -119,8 +119,8 @@
             files.remove(name)
 
 
-def _file_of(operation: DiskOperation) -> str:
-    """The name of the file that an operation concerns, for error texts."""
+def _file_name(operation: DiskOperation) -> str:
+    """The file that an operation concerns, for error messages."""
     match operation:
         case SyncFolder():
             return "folder"
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -1,7 +1,7 @@
-"""Repair of a folder that can't be read. Pure.
+"""Plans the repair of a folder that can't be read. Does no I/O.
 
-A repair deletes nothing: it writes a new snapshot of what is certain, and renames the files that this was
-read from. What is lost is reported first, and whoever reads the folder later is told why it was repaired.
+A repair deletes nothing. It writes the intact state to a new snapshot and renames the old files. The possible
+losses are reported first. The new snapshot records why the folder was repaired.
 """
 
 from collections.abc import Mapping
@@ -30,23 +30,23 @@
 
 
 class RepairPlan(Struct, frozen=True):
-    """A repair that is possible."""
+    """The actions and losses of a possible repair."""
 
-    why: str  # the folder can't be read
-    state: FolderState  # what is retained
-    losses: list[str]  # what may be lost, a line each
+    why: str  # cause for which the folder can't be read
+    state: FolderState  # the state that is kept
+    losses: list[str]  # descriptions of what may be lost, one line each
     files_set_aside: list[str]
 
     @property
     def snapshot_name(self) -> str:
-        """The file that the repair writes."""
+        """Name of the snapshot that the repair writes."""
         return file_format.snapshot_name(self.state.last_sequence + 1)
 
 
 def plan_repair(files: Mapping[str, FileContent]) -> RepairPlan | None:
-    """Plan the repair of a folder, given all files of the store; None if it is readable.
+    """Plan the repair of a folder from all of its store files; return None if the folder is readable.
 
-    Raises UnreadableFolderError if nothing is left to recover from.
+    Raises UnreadableFolderError if nothing can be recovered.
     """
     names = sorted(files)
     try:
@@ -57,13 +57,13 @@
         return None
     state = _last_readable_state(files, names)
     if state is None:
-        raise UnreadableFolderError("", f"nothing is left to go on from: {why}")
+        raise UnreadableFolderError("", f"nothing can be recovered: {why}")
     state.last_sequence = max(file.sequence for file in file_format.store_files(names).values())
     return RepairPlan(why, state, _losses(files, files_in_use(names), state), names)
 
 
 def _last_readable_state(files: Mapping[str, FileContent], names: list[str]) -> FolderState | None:
-    """The state from the last snapshot and the longest run of logs that can be read."""
+    """The state from the latest readable snapshot and as many of its logs as can be read."""
     remaining = list(names)
     while order := files_in_use(remaining):
         for count in range(len(order), 0, -1):
@@ -74,7 +74,7 @@
 
 
 def _read_leading(files: Mapping[str, FileContent], order: list[str]) -> FolderState | None:
-    """What these files contain, the last one up to its first damaged record; None if that can't be read."""
+    """The state from these files, the last one up to its first damaged record; None if it can't be read."""
     data, inode = files[order[-1]]
     leading = data[: leading_records(data)[1]]
     for content in (data, leading):
@@ -94,20 +94,20 @@
         f"{name}: all of its {len(files[name][0])} bytes" for name in order if name not in state.files_read
     ]
     if intact_bytes < len(data):
-        lines.append(f"{last}: from byte {intact_bytes} of {len(data)} on, what came after number {number}")
-    return lines or [f"nothing that can be seen here; what came after number {number}, if this is older"]
+        lines.append(f"{last}: from byte {intact_bytes} of {len(data)} on, groups after {number}")
+    return lines or [f"no visible loss; groups after {number}, if the folder is an older copy"]
 
 
 def first_repair_job(plan: RepairPlan) -> DiskJob:
-    """The first job of a repair; its result has the inode for the second one."""
+    """The first job of a repair; its result contains the inode number for the second job."""
     return DiskJob((CreateFile(plan.snapshot_name + file_format.TEMPORARY_SUFFIX),))
 
 
 def second_repair_job(plan: RepairPlan, inode: int, at_ms: float) -> DiskJob:
-    """The second job: the new snapshot gets its name before the other files lose theirs.
+    """The second job of a repair; it renames the old files only after the new snapshot is in place.
 
-    It counts as a new incarnation, so that what other members report of the last one does not make it an
-    older copy. `at_ms` is the wall clock.
+    The snapshot belongs to a new incarnation. Otherwise the positions that other members know of the last
+    incarnation would mark the repaired folder as an older copy. `at_ms` is the Unix time in milliseconds.
     """
     state = plan.state
     header = file_format.FileHeader(
--- a/fawnwharf/durable_store/simulated_folder.py
+++ b/fawnwharf/durable_store/simulated_folder.py
@@ -1,4 +1,4 @@
-"""One folder on a disk in memory through several incarnations of a store, and what may be found in it."""
+"""A simulated folder used by successive incarnations of a store, and a reference model of its content."""
 
 import contextlib
 from collections.abc import Callable
@@ -33,24 +33,24 @@
     retry_ms=30.0,
     retry_most_ms=200.0,
 )
-ITERATIONS = 40
-_CLOSE_ITERATIONS = 60
+ITERATIONS = 40  # of the event loop, in one run
+_CLOSE_ITERATIONS = 60  # maximum for a graceful shutdown
 
 Change = tuple[str, str, object]  # kind, key, value
 
 
 class InvariantViolationError(AssertionError):
-    """A promise of the store that was broken."""
+    """The store has violated one of its guarantees."""
 
 
 class SimulatedRunner:
-    """Executes jobs at once; their result is known some iterations later."""
+    """Executes jobs immediately, and returns their results some iterations later."""
 
     output = None
     unsent = False
 
     def __init__(self, disk: FileSystem, mutant: Mutant, on_start: Callable[[], None], delay: int) -> None:
-        """`delay` is the number of calls of `poll` until a result is known."""
+        """`delay` is the number of calls of `poll` until the result is returned."""
         self.disk = disk
         self.on_output_opened: OutputCallback = lambda _output: None
         self.on_output_closing: OutputCallback = lambda _output: None
@@ -67,7 +67,7 @@
         self._result = execute_job(self.disk, self._mutant.change_job(job))
 
     def poll(self) -> JobResult | None:
-        """The result of the last job, after the delay, once."""
+        """Return the result of the last job once, after the delay."""
         self._remaining -= 1
         if self._remaining > 0:
             return None
@@ -76,7 +76,7 @@
         return result
 
     def close(self) -> None:
-        """Nothing has to be ended."""
+        """Do nothing, as there is no process to end."""
 
 
 def _unknown_position() -> FolderPosition:
@@ -93,28 +93,30 @@
 
     mutant: Mutant = UNCHANGED
     disk: MemoryDisk = field(default_factory=MemoryDisk)
-    written: dict[int, file_format.Entries] = field(default_factory=_empty_committed)  # by group, as given
-    floor_when_written: dict[int, int] = field(default_factory=dict)  # by group
-    floor: int = 0  # the last group that anybody was notified of
-    reported: FolderPosition = field(default_factory=_unknown_position)  # the largest that was sent
+    written: dict[int, file_format.Entries] = field(default_factory=_empty_committed)  # by group number
+    last_reported_when_written: dict[int, int] = field(default_factory=dict)  # by group number
+    last_reported: int = 0  # number of the last group reported as being on disk
+    reported: FolderPosition = field(
+        default_factory=_unknown_position
+    )  # the latest position sent to other members
     now_ms: float = 0.0
-    last_closed: int = 0  # the last incarnation that reported a graceful shutdown
-    closing: set[int] = field(default_factory=set)  # all incarnations that were to shut down
+    last_closed: int = 0  # last incarnation whose graceful shutdown was completed
+    closing: set[int] = field(default_factory=set)  # incarnations that were told to shut down
     current: Store | None = None
 
     @property
     def store(self) -> Store:
         """The store of the current incarnation."""
         if self.current is None:
-            raise RuntimeError("no incarnation has begun")
+            raise RuntimeError("no incarnation was started")
         return self.current
 
     def inspect(self) -> FolderState:
-        """The folder's state, as a start finds it. Raises UnreadableFolderError."""
+        """Read the folder's state as a starting store does. Raises UnreadableFolderError."""
         return inspect_folder(self.disk, "fleet", "a", LIMITS)
 
     def open(self, delay: int = 1, churn: int = 1_000) -> None:
-        """Begin an incarnation whose jobs take `delay` iterations. Raises UnreadableFolderError."""
+        """Start an incarnation whose jobs take `delay` iterations. Raises UnreadableFolderError."""
         limits = msgspec.structs.replace(LIMITS, churn=churn)
         runner = SimulatedRunner(self.disk, self.mutant, self._note_written, delay)
         sources = Sources(lambda: self.now_ms, lambda: "ab" * 8, self.mutant.core)
@@ -124,19 +126,23 @@
     def _note_written(self) -> None:
         core = self.store.core
         self.written.setdefault(core.number, dict(core.entries))
-        self.floor_when_written.setdefault(core.number, self.floor)
+        self.last_reported_when_written.setdefault(core.number, self.last_reported)
 
     def check(self, found: FolderState) -> None:
-        """Check what is found after a power loss or a kill; the model continues from there."""
+        """Check the state found after a power loss or a kill, and continue the model from this state."""
         number = found.position.number
         self.check_written(found)
-        if number < self.floor:
-            raise InvariantViolationError(f"number {number} is found, and {self.floor} was reported")
+        if number < self.last_reported:
+            raise InvariantViolationError(
+                f"group {number} is found, but group {self.last_reported} was reported"
+            )
         self._check_shutdown(found)
         if found.position.disk_id and (why := rollback_reason(found, [self.reported])):
-            raise InvariantViolationError(f"a power loss is taken for an older copy: {why}")
+            raise InvariantViolationError(f"a power loss is mistaken for an older copy: {why}")
         self.written = {at: entries for at, entries in self.written.items() if at <= number}
-        self.floor_when_written = {at: floor for at, floor in self.floor_when_written.items() if at <= number}
+        self.last_reported_when_written = {
+            at: last_reported for at, last_reported in self.last_reported_when_written.items() if at <= number
+        }
 
     def _check_shutdown(self, found: FolderState) -> None:
         incarnation = found.position.incarnation
@@ -144,23 +150,25 @@
         wrongly_open = not found.closed_cleanly and 0 < incarnation == self.last_closed
         if wrongly_closed or wrongly_open:
             raise InvariantViolationError(
-                f"graceful shutdown: found {found.closed_cleanly} in incarnation {incarnation}, "
-                f"{self.last_closed} reported one"
+                f"graceful shutdown: found {found.closed_cleanly} in incarnation {incarnation}; "
+                f"incarnation {self.last_closed} completed the last one"
             )
 
     def check_written(self, found: FolderState) -> None:
-        """Check that the entries found are those of one group as it was written."""
+        """Check that the entries found are exactly those of the group at this position."""
         number = found.position.number
         if self.written.get(number) != found.entries:
-            raise InvariantViolationError(f"what is found at number {number} was never written like this")
+            raise InvariantViolationError(
+                f"the entries found at group {number} are not those that were written"
+            )
 
     def advance(self, changes: list[Change], pause_ms: float) -> None:
-        """One iteration of the event loop with these changes, and a pause after it."""
+        """Simulate one event loop iteration with these changes, and a pause after it."""
         for kind, key, value in changes:
-            first = self.store.core.number + 1  # the first group that can contain it
+            first = self.store.core.number + 1  # the first group that can contain the change
 
             def note_commit(on_disk: bool, _why: str, first: int = first) -> None:
-                self.floor = max(self.floor, first if on_disk else 0)
+                self.last_reported = max(self.last_reported, first if on_disk else 0)
 
             with contextlib.suppress(ChangeRejectedError):
                 self.store.put(self.now_ms, kind, key, value, note_commit)
@@ -178,15 +186,15 @@
             if self.store.core.finished:
                 position = self.store.position()
                 self.last_closed = position.incarnation
-                self.floor = max(self.floor, position.number)
+                self.last_reported = max(self.last_reported, position.number)
                 return
 
-    def run(self, chance: Random, iterations: int = ITERATIONS) -> None:
-        """Some iterations with random changes."""
+    def run(self, rng: Random, iterations: int = ITERATIONS) -> None:
+        """Simulate some iterations with random changes."""
         for _ in range(iterations):
             changes: list[Change] = []
-            for _ in range(chance.choice((0, 0, 1, 1, 3))):
-                kind = chance.choice(("term", "use", "use", "copies"))
-                value = None if chance.random() < 0.15 else "v" * chance.randrange(90) + str(chance.random())
-                changes.append((kind, f"k{chance.randrange(5)}", value))
-            self.advance(changes, chance.choice((0.0, 5.0, 30.0)))
+            for _ in range(rng.choice((0, 0, 1, 1, 3))):
+                kind = rng.choice(("term", "use", "use", "copies"))
+                value = None if rng.random() < 0.15 else "v" * rng.randrange(90) + str(rng.random())
+                changes.append((kind, f"k{rng.randrange(5)}", value))
+            self.advance(changes, rng.choice((0.0, 5.0, 30.0)))
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -1,6 +1,6 @@
-"""The store: a folder's entries, as one front end reads and changes them in its event loop.
+"""The durable store of one front end: the entries in a folder, read and changed from the event loop.
 
-Nothing here waits for the disk except `open_store`, which reads, and `Store.close`, whose wait is bounded.
+Only two calls wait for the disk: `open_store`, which reads the folder, and `Store.close`, for a bounded time.
 """
 
 import os
@@ -28,12 +28,12 @@
 from fawnwharf.durable_store.status import StoreStatus
 from fawnwharf.durable_store.writer_process import JobRunner, WriterProcess
 
-CommitCallback = Callable[[bool, str], None]  # whether the change is on disk; if not, why that is unknown
+CommitCallback = Callable[[bool, str], None]  # on_disk, and the reason if that is not certain
 CLOSE_POLL_INTERVAL_S = 0.005
 
 
 def unix_ms() -> float:
-    """The wall clock, in Unix milliseconds."""
+    """The Unix time in milliseconds."""
     return time.time() * 1_000.0
 
 
@@ -41,7 +41,7 @@
     """Owns the core, the job runner, and the callbacks of commit tickets."""
 
     def __init__(self, core: StoreCore, runner: JobRunner, recovered: FolderState) -> None:
-        """`recovered` is the folder's state at the start."""
+        """`recovered` is the state read from the folder at the start."""
         self.core = core
         self.runner = runner
         self.recovered = recovered
@@ -49,33 +49,33 @@
         self._release: Callable[[], None] = lambda: None
 
     def on_release(self, release: Callable[[], None]) -> None:
-        """Set what `close` calls last, to unlock the folder."""
+        """Set the function that `close` calls last, to unlock the folder."""
         self._release = release
 
     def get(self, kind: str, key: str) -> Any:
-        """An entry's value as it was last changed, on disk or not; None if there is no entry."""
+        """The latest value of an entry, on disk or not; None if there is no entry."""
         value = self.core.entries.get((kind, key))
         return None if value is None else msgspec.json.decode(value)
 
     def items(self, kind: str) -> list[tuple[str, Any]]:
-        """All entries of a kind: keys and values."""
-        own = [(key[1], value) for key, value in self.core.entries.items() if key[0] == kind]
-        return [(key, msgspec.json.decode(value)) for key, value in own]
+        """The keys and values of all entries of a kind."""
+        encoded = [(key[1], value) for key, value in self.core.entries.items() if key[0] == kind]
+        return [(key, msgspec.json.decode(value)) for key, value in encoded]
 
     def put(
         self, now_ms: float, kind: str, key: str, value: Any, callback: CommitCallback | None = None
     ) -> None:
-        """Set an entry, or delete it for None.
+        """Set an entry, or delete it if the value is None.
 
         `callback` is called once, from `advance`, and only for a kind that is `SYNCED`. Raises
-        ChangeRejectedError; then nothing has changed.
+        ChangeRejectedError if the change is rejected; the entry then stays as it is.
         """
         ticket = self.core.put(now_ms, kind, key, value)
         if ticket and callback is not None:
             self._callbacks[ticket] = callback
 
     def advance(self, now_ms: float) -> None:
-        """Take the last job's result, call the callbacks of decided tickets, and start the next job.
+        """Process the last job's result, call the callbacks of decided tickets, and start the next job.
 
         Call it at the end of each event loop iteration, when `due_ms` is reached, and when the writer's
         output is readable.
@@ -94,7 +94,7 @@
                 callback(ticket.on_disk, ticket.why)
 
     def due_ms(self) -> float | None:
-        """When `advance` has to be called; None: not before something happens."""
+        """Time of the next call of `advance`; None: after the next change or result."""
         return self.core.due_ms()
 
     def status(self, now_ms: float) -> StoreStatus:
@@ -102,14 +102,14 @@
         return self.core.status(now_ms)
 
     def position(self) -> FolderPosition:
-        """What other members may be sent of how far this folder has come."""
+        """The last position that is certain to be on disk, which may be sent to other members."""
         return self.core.position()
 
     def close(self, clock: Callable[[], float], within_ms: float = 2_000.0) -> bool:
         """Write everything to disk, mark the shutdown as graceful, and release the folder.
 
-        Returns whether that was done in time. The folder is released in any case, once the job in progress
-        has ended.
+        Returns whether everything was on disk in time. In any case, the folder is released when the job in
+        progress has ended.
         """
         self.core.shut_down()
         deadline_ms = clock() + within_ms
@@ -124,18 +124,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreOwner:
-    """Whose store it is, and what the process that opens it knows."""
+    """The member that owns a store, and what the process that opens the store knows."""
 
     fleet: str
     name: str
-    boot: str = ""  # this boot of the machine; empty if unknown
-    empty_ok: bool = False  # the member is new, so that its folder may be empty
-    reported: tuple[FolderPosition, ...] = ()  # how far other members know this folder to have come
+    boot: str = ""  # boot ID of the machine; empty if unknown
+    empty_ok: bool = False  # whether the folder may be empty, as the member is new
+    reported: tuple[FolderPosition, ...] = ()  # positions of this folder that other members know
 
 
 @dataclass(frozen=True, slots=True)
 class Sources:
-    """Where a store takes time and identities from; tests replace them."""
+    """The clock, the disk ID generator and the core class of a store, which tests replace."""
 
     unix_ms: Callable[[], float] = unix_ms
     draw_disk_id: Callable[[], str] = lambda: os.urandom(8).hex()
@@ -151,7 +151,7 @@
     order = files_in_use(names)
     size = sum(names[each] for each in order)
     if size > limits.folder_bytes:
-        cause = f"{size} bytes, more than a folder of {limits.state_bytes} can have grown to"
+        cause = f"{size} bytes, too large for a store with a limit of {limits.state_bytes} bytes"
         raise UnreadableFolderError("", cause)
     return read_folder({each: files.read(each) for each in order}, names, fleet, name)
 
@@ -164,11 +164,11 @@
     limits: file_format.StoreLimits,
     sources: Sources | None = None,
 ) -> Store:
-    """A store on any file system. Raises UnreadableFolderError and OSError."""
+    """Create a store on any file system. Raises UnreadableFolderError and OSError."""
     sources = sources or Sources()
     recovered = inspect_folder(files, owner.fleet, owner.name, limits)
     if recovered.fresh and not owner.empty_ok:
-        raise UnreadableFolderError("", "empty, and this member is not said to be new")
+        raise UnreadableFolderError("", "empty, but this member is not declared as new")
     if why := rollback_reason(recovered, owner.reported):
         raise UnreadableFolderError(recovered.files_read[-1], why)
     header = file_format.FileHeader(
@@ -194,11 +194,11 @@
     limits: file_format.StoreLimits | None = None,
     within_s: float = 0.0,
 ) -> Store:
-    """The store in a folder.
+    """Open the store in a folder.
 
-    `within_s` is for how long the lock is tried, as the writer of a killed process has it until its last job
-    is done. Raises DiskError with one line that names path and cause; nothing has changed then, except that a
-    folder that did not exist was created.
+    The lock is tried for `within_s` seconds, because the writer of a killed process holds it until its last
+    job is done. Raises DiskError with one line that names the path and the cause. The folder is then
+    unchanged, except that a missing folder and its lock file have been created.
     """
     folder = Path(path)
     lock = lock_folder(folder, within_s=within_s)
--- a/fawnwharf/durable_store/writer_process.py
+++ b/fawnwharf/durable_store/writer_process.py
@@ -1,8 +1,8 @@
-"""The process that waits for the disk in place of the front end, and the front end's handle of it.
+"""The writer process, which executes disk jobs so that the front end never waits for the disk.
 
-It reads jobs from its input, one at a time, executes each, and writes its result. It holds the folder's lock
-as long as it lives, so that no other process gets the folder between a front end's kill and the end of the
-job in progress. It ends with its input.
+The process reads one job at a time from its input, executes it, and writes the result to its output. It exits
+when its input ends. It inherits the folder's lock: if the front end is killed, no other process can lock the
+folder until the job in progress has ended.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 MAX_READ_BYTES = 64 * 1024
 MAX_WRITE_BYTES = 1024 * 1024
 
-# Without the package's own __init__, which imports the decision module: a faster start and less memory.
+# Skips the package's __init__, which imports the decision module, for a faster start and less memory.
 _PROGRAM = """
 import sys, types
 package = types.ModuleType("fawnwharf")
@@ -33,7 +33,7 @@
 import importlib
 importlib.import_module(sys.argv[3]).main(sys.argv[2])
 """
-# For tests only: the module whose `main` replaces this one's, as a writer that loses what was not synced.
+# For tests only: names a module whose `main` is run instead, such as a writer that loses unsynced data.
 TEST_WRITER_VARIABLE = "FAWNWHARF_TEST_WRITER"
 
 OutputCallback = Callable[[BinaryIO], None]
@@ -46,21 +46,21 @@
     on_output_closing: OutputCallback
 
     def start(self, job: DiskJob) -> None:
-        """Start a job; none is in progress."""
+        """Start a job. No other job may be in progress."""
 
     def poll(self) -> JobResult | None:
-        """The result of the job in progress, once; None until there is one."""
+        """Return the result of the job in progress once; None while there is none."""
 
     @property
     def output(self) -> BinaryIO | None:
-        """What becomes readable when a result is there."""
+        """The stream that becomes readable when there is a result."""
 
     @property
     def unsent(self) -> bool:
-        """Whether part of the job waits for a full pipe: `poll` is to be called again soon."""
+        """Whether the pipe was too full for the whole job, so that `poll` has to be called again soon."""
 
     def close(self) -> None:
-        """End the runner, once the job in progress is done."""
+        """Stop the runner when the job in progress is done."""
 
 
 def _ignore(_output: BinaryIO) -> None:
@@ -68,7 +68,7 @@
 
 
 class WriterProcess:
-    """Owns a process that executes jobs; it is started on demand, and again after it has ended."""
+    """Owns the process that executes jobs; starts it on demand, and again after it has ended."""
 
     def __init__(self, path: Path, lock: int) -> None:
         """`lock` is the descriptor of the folder's lock, which the process inherits."""
@@ -79,15 +79,15 @@
         self._lock = lock
         self._unsent = bytearray()
         self._received = bytearray()
-        self._error = ""  # the result of the job in progress, if the process has ended
+        self._error = ""  # the error of the job in progress, if the process has ended
 
     @property
     def output(self) -> BinaryIO | None:
-        """What becomes readable when a result is there; another stream after the process was restarted."""
+        """The stream that becomes readable when there is a result; a restart replaces it."""
         return None if self.process is None else _pipe(self.process.stdout)
 
     def start(self, job: DiskJob) -> None:
-        """Send a job to the process; start the process if there is none."""
+        """Send a job to the process, which is started if necessary."""
         data = msgspec.msgpack.encode(job)
         self._unsent = bytearray(_LENGTH.pack(len(data)) + data)
         self._received.clear()
@@ -96,12 +96,12 @@
             self._send(self.process)
 
     def begin(self) -> None:
-        """Start the process, if there is none; it takes a while until it is ready for its first job."""
+        """Start the process if it is not running; its first job has to wait until it is ready."""
         try:
             if self.process is None:
                 self._start_process()
         except OSError as error:
-            self._error = f"no writer: {error.strerror}"
+            self._error = f"the writer process can't be started: {error.strerror}"
 
     def _start_process(self) -> None:
         module = os.environ.get(TEST_WRITER_VARIABLE) or __name__
@@ -120,7 +120,7 @@
         self.on_output_opened(_pipe(process.stdout))
 
     def _send(self, process: subprocess.Popen[bytes]) -> None:
-        """Send as much of the job as the pipe takes now."""
+        """Send as much of the job as fits into the pipe."""
         try:
             while self._unsent:
                 written = os.write(_pipe(process.stdin).fileno(), self._unsent[:MAX_WRITE_BYTES])
@@ -131,7 +131,7 @@
             self._end_process(process, f"the writer ended: {error.strerror}")
 
     def poll(self) -> JobResult | None:
-        """The result of the job in progress, once; None until there is one. Never blocks."""
+        """Return the result of the job in progress once; None while there is none. Never blocks."""
         if self._error:
             return self._take_error()
         if self.process is not None and self._unsent:
@@ -166,7 +166,7 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether part of the job waits for a full pipe."""
+        """Whether the pipe was too full for the whole job."""
         return bool(self._unsent)
 
     def _end_process(self, process: subprocess.Popen[bytes], why: str) -> None:
@@ -177,14 +177,14 @@
         for end in (process.stdin, process.stdout):
             with contextlib.suppress(OSError):
                 _pipe(end).close()
-        process.kill()  # one that only closed its output would keep the lock
+        process.kill()  # a process that only closed its output would still hold the lock
         with contextlib.suppress(subprocess.TimeoutExpired):
             process.wait(0.0)
 
     def close(self, wait_s: float = 1.0) -> None:
-        """Close the process's input, and wait this many seconds for its end.
+        """Close the process's input, and wait up to `wait_s` seconds for its exit.
 
-        It ends once the job in progress is done.
+        The process exits when the job in progress is done.
         """
         if self.process is None:
             return
@@ -197,37 +197,40 @@
 
 
 def _pipe(end: IO[bytes] | None) -> BinaryIO:
-    """The pipe at one end of a process that was started with pipes."""
+    """Narrow the type of a process's stdin or stdout to a pipe."""
     if end is None:
         raise TypeError("the process was started without this pipe")
     return cast(BinaryIO, end)
 
 
 def main(path: str) -> None:
-    """Execute jobs in the folder until the input ends."""
+    """Execute jobs in the folder `path` until the input ends."""
     files = DiskFolder(path)
     serve(lambda job: execute_job(files, job))
 
 
 def serve(execute: Callable[[DiskJob], JobResult]) -> None:
-    """Read jobs, have each executed, and write its result, until the input ends."""
-    for number in (signal.SIGINT, signal.SIGTERM):  # the front end decides when this process ends
-        signal.signal(number, signal.SIG_IGN)
+    """Read jobs, execute each with `execute`, and write its result, until the input ends."""
+    for signal_number in (
+        signal.SIGINT,
+        signal.SIGTERM,
+    ):  # the front end stops this process by closing its input
+        signal.signal(signal_number, signal.SIG_IGN)
     jobs = sys.stdin.buffer
-    while head := _read_exactly(jobs, _LENGTH.size):
-        data = _read_exactly(jobs, _LENGTH.unpack(head)[0])
+    while length := _read_exactly(jobs, _LENGTH.size):
+        data = _read_exactly(jobs, _LENGTH.unpack(length)[0])
         if not data:
             return
-        answer = msgspec.msgpack.encode(execute(msgspec.msgpack.decode(data, type=DiskJob)))
+        encoded_result = msgspec.msgpack.encode(execute(msgspec.msgpack.decode(data, type=DiskJob)))
         try:
-            sys.stdout.buffer.write(_LENGTH.pack(len(answer)) + answer)
+            sys.stdout.buffer.write(_LENGTH.pack(len(encoded_result)) + encoded_result)
             sys.stdout.buffer.flush()
         except OSError:
             return
 
 
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """This many bytes; none if the stream ends before."""
+    """Read exactly `size` bytes; return no bytes if the stream ends before."""
     data = bytearray()
     while len(data) < size and (chunk := stream.read(size - len(data))):
         data += chunk
--- a/tests/durable_store/test_durable_store_core.py
+++ b/tests/durable_store/test_durable_store_core.py
@@ -111,11 +111,11 @@
 
 def test_limits_of_kinds_and_of_all_entries_are_enforced_and_named():
     made, _ = core()
-    with pytest.raises(ChangeRejectedError, match="term: 502 bytes, and 500"):
+    with pytest.raises(ChangeRejectedError, match="term: 502 bytes exceed the limit of 500"):
         made.put(0.0, "term", "t", "x" * 500)
     for key in "abcd":
         made.put(0.0, "term", key, 1)
-    with pytest.raises(ChangeRejectedError, match="term: 4 entries"):
+    with pytest.raises(ChangeRejectedError, match="term: the limit of 4 entries"):
         made.put(0.0, "term", "e", 1)
     made.put(0.0, "term", "a", None)
     made.put(0.0, "term", "e", 1)
@@ -190,7 +190,7 @@
 def test_random_runs_survive_power_losses_kills_failures_flipped_bits_and_older_copies():
     ends = crash_simulation.check_random(2_000, 1)
     assert len(ends) >= 9
-    assert ends["cut or killed, as it was told"] > 800
+    assert ends["power loss or kill: state as reported"] > 800
 
 
 @pytest.mark.parametrize("name", MUTANTS)
@@ -202,7 +202,7 @@
 def test_an_interrupted_repair_leaves_a_folder_that_is_rejected_or_repaired():
     seen = set()
     for cut in range(12):
-        for share in crash_simulation.SHARES:
+        for share in crash_simulation.SURVIVING_SHARES:
             made, disk = core()
             for n in range(6):
                 made.put(0.0, "term", "t", n)
