--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -95,9 +95,9 @@
         if data == file_format.DELETED:  # NaN is encoded as null
             data = None
         if self._shutting_down:
-            raise ChangeRejectedError("the store is shutting down")
+            raise ChangeRejectedError("the store is ending")
         if durability == Durability.SYNCED and self._faults.reason:
-            raise ChangeRejectedError(f"changes are not durable now: {self._faults.reason}")
+            raise ChangeRejectedError(f"not durable now: {self._faults.reason}")
         self._table.change((kind, key), data)
         self._pending.add(now_ms, (kind, key), durability, len(self.entries))
         if self._unsynced_since_ms is None and durability != Durability.BEST_EFFORT:
--- a/fawnwharf/durable_store/entry_table.py
+++ b/fawnwharf/durable_store/entry_table.py
@@ -37,10 +37,10 @@
         kind = self.kinds[key[0]]
         if len(value) > kind.max_value_bytes:
             raise ChangeRejectedError(
-                f"{kind.name}: {len(value)} bytes exceed the limit of {kind.max_value_bytes} per value"
+                f"{kind.name}: {len(value)} bytes, and {kind.max_value_bytes} is the most"
             )
         if is_new and self._counts[kind.name] >= kind.max_entries:
-            raise ChangeRejectedError(f"{kind.name}: the limit of {kind.max_entries} entries is reached")
+            raise ChangeRejectedError(f"{kind.name}: {kind.max_entries} entries is the most")
         if not kind.reserved and growth_bytes > 0 and self.size_bytes + growth_bytes > self._max_bytes:
             raise ChangeRejectedError(f"{kind.name}: {self._max_bytes} bytes in all is the most")
 
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -86,7 +86,7 @@
     if not order:
         return state
     if own_files[order[0]].file_kind != file_format.SNAPSHOT:
-        raise UnreadableFolderError(order[0], "the snapshot that precedes it is missing")
+        raise UnreadableFolderError(order[0], "the snapshot before it is missing")
     state.fresh = False
     for file_name in order:
         data, inode = files[file_name]
@@ -121,7 +121,7 @@
         known = version == file_format.VERSION
         header = msgspec.json.decode(content, type=file_format.FileHeader) if known else None
     except msgspec.DecodeError as error:
-        raise UnreadableFolderError(file_name, f"invalid file header: {error}") from None
+        raise UnreadableFolderError(file_name, f"no head of durable state: {error}") from None
     if header is None:
         raise UnreadableFolderError(
             file_name, f"version {version}, and this program knows {file_format.VERSION}"
@@ -131,9 +131,7 @@
     if name and header.name != name:
         raise UnreadableFolderError(file_name, f"the disk of member {header.name}, not of {name}")
     if header.file_kind != file_format.store_files([file_name])[file_name].file_kind:
-        raise UnreadableFolderError(
-            file_name, f"the file name does not match its content, a {header.file_kind}"
-        )
+        raise UnreadableFolderError(file_name, f"holds a {header.file_kind}")
     return header
 
 
@@ -156,10 +154,10 @@
     """Apply a log's groups to the state; return the number of the last complete group."""
     position = state.position
     if header.disk_id != position.disk_id:
-        cause = f"of disk {header.disk_id}, but the files before it are of disk {position.disk_id}"
+        cause = f"of the disk {header.disk_id}, beside files of {position.disk_id}"
         raise UnreadableFolderError(file_name, cause)
     if header.number != position.number + 1:
-        cause = f"starts with group {header.number}, but the last group before it is {position.number}"
+        cause = f"begins with group {header.number}, and {position.number} is the last before it"
         raise UnreadableFolderError(file_name, f"{cause}: files are missing or damaged")
     records, end = leading_records(data)
     number = _apply_groups(file_name, records, state)
@@ -211,6 +209,6 @@
     if (last.incarnation, last.number) <= (own.incarnation, own.number):
         return ""
     return (
-        f"rolled back: the folder is at incarnation {own.incarnation}, group {own.number}, "
-        f"but other members know of incarnation {last.incarnation}, group {last.number}"
+        f"rolled back: stands at life {own.incarnation}, number {own.number}, "
+        f"and others have heard of life {last.incarnation}, number {last.number}"
     )
--- a/fawnwharf/durable_store/writer_process.py
+++ b/fawnwharf/durable_store/writer_process.py
@@ -101,7 +101,7 @@
             if self.process is None:
                 self._start_process()
         except OSError as error:
-            self._error = f"the writer process can't be started: {error.strerror}"
+            self._error = f"no writer: {error.strerror}"
 
     def _start_process(self) -> None:
         module = os.environ.get(TEST_WRITER_VARIABLE) or __name__
--- a/tests/durable_store/test_durable_store_core.py
+++ b/tests/durable_store/test_durable_store_core.py
@@ -111,11 +111,11 @@
 
 def test_limits_of_kinds_and_of_all_entries_are_enforced_and_named():
     made, _ = core()
-    with pytest.raises(ChangeRejectedError, match="term: 502 bytes exceed the limit of 500"):
+    with pytest.raises(ChangeRejectedError, match="term: 502 bytes, and 500"):
         made.put(0.0, "term", "t", "x" * 500)
     for key in "abcd":
         made.put(0.0, "term", key, 1)
-    with pytest.raises(ChangeRejectedError, match="term: the limit of 4 entries"):
+    with pytest.raises(ChangeRejectedError, match="term: 4 entries"):
         made.put(0.0, "term", "e", 1)
     made.put(0.0, "term", "a", None)
     made.put(0.0, "term", "e", 1)
--- a/tests/durable_store/test_durable_store_folder.py
+++ b/tests/durable_store/test_durable_store_folder.py
@@ -184,7 +184,7 @@
     "version": (lambda path: rewritten(path, version=9), r"snap-1.snap: version 9, and this program"),
     "snapshot": (lambda path: flipped(path, "snap-1.snap", 9), r"snap-1.snap: damaged"),
     "middle": (lambda path: flipped(path, "log-1.seg", 200), r"log-1.seg: damaged at byte \d+: group"),
-    "missing": (lambda path: (path / "snap-1.snap").unlink(), r"log-1.seg: the snapshot that precedes it is"),
+    "missing": (lambda path: (path / "snap-1.snap").unlink(), r"log-1.seg: the snapshot before it is"),
     "empty": (lambda path: [each.unlink() for each in path.iterdir()], r"d: empty, but this member is not"),
 }  # fmt: skip
 
@@ -214,7 +214,7 @@
     opened(tmp_path / "d", reported=[FolderPosition(mark, 1, 3), FolderPosition("other", 9, 9)]).close(
         monotonic_ms, 20_000.0
     )
-    with pytest.raises(DiskError, match="rolled back: the folder is at incarnation 2, group"):
+    with pytest.raises(DiskError, match="rolled back: stands at life 2, number"):
         opened(tmp_path / "d", reported=[FolderPosition(mark, 2, 900)])
 
 
