--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -151,7 +151,7 @@
     order = files_in_use(names)
     size = sum(names[each] for each in order)
     if size > limits.folder_bytes:
-        cause = f"{size} bytes, too large for a store with a limit of {limits.state_bytes} bytes"
+        cause = f"{size} bytes, more than a folder with a limit of {limits.state_bytes} bytes can reach"
         raise UnreadableFolderError("", cause)
     return read_folder({each: files.read(each) for each in order}, names, fleet, name)
 
--- a/tests/durable_store/test_durable_store_disk_faults.py
+++ b/tests/durable_store/test_durable_store_disk_faults.py
@@ -1,4 +1,4 @@
-"""The store of durable state on a real folder, whose file calls fail, fall short or are its last."""
+"""The durable store on a real folder with failing file calls, short writes, kills and power losses."""
 
 import errno
 from contextlib import suppress
@@ -13,144 +13,147 @@
 from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED
 from fawnwharf.durable_store.simulated_folder import InvariantViolationError, SimulatedFolder
 
-TURNS = 12
-ENDS = {
+ITERATIONS = 12
+INTERRUPTIONS = {
     "kill": lambda faults: faults.kill(),
     "cut": lambda faults: faults.cut(late_names=False),
     "cut, late names": lambda faults: faults.cut(late_names=True),
 }
 
 
-class Site:
-    """One folder, and the model of what was told of it."""
+class FolderRun:
+    """One real folder with injected file faults, and the reference model of its content."""
 
-    def __init__(self, folder, bug=UNCHANGED):
+    def __init__(self, folder, mutant=UNCHANGED):
         folder.mkdir()
         self.faults = FileFaults(folder)
-        self.world = SimulatedFolder(bug, DiskFolder(folder))
+        self.model = SimulatedFolder(mutant, DiskFolder(folder))
 
-    def live(self, seed, turns=TURNS):
-        self.world.open()
-        self.world.run(Random(seed), turns)
+    def run_incarnation(self, seed, iterations=ITERATIONS):
+        self.model.open()
+        self.model.run(Random(seed), iterations)
 
-    def found(self, end):
-        """What a start after that finds is what was told, or given to the disk later."""
-        ENDS[end](self.faults)
-        self.world.disk = DiskFolder(self.faults.folder)
-        self.world.check(self.world.inspect())
+    def check_after(self, interruption):
+        """Interrupt the store, and check that the folder contains all reported changes."""
+        INTERRUPTIONS[interruption](self.faults)
+        self.model.disk = DiskFolder(self.faults.folder)
+        self.model.check(self.model.inspect())
 
-    def works_again(self):
-        """Without a restart: a change is told to be on disk, and it is."""
+    def check_recovery(self):
+        """Check that, once file calls work again, a change is committed without a restart."""
         self.faults.works()
-        told = []
+        results = []
         for _ in range(60):
-            if not self.world.store.status(self.world.now_ms).failing:
+            if not self.model.store.status(self.model.now_ms).failing:
                 break
-            self.world.advance([], 100.0)
-        self.world.store.put(self.world.now_ms, "term", "k1", None)  # there is room for four
-        self.world.store.put(self.world.now_ms, "term", "k0", "put", lambda *how: told.append(how))
+            self.model.advance([], 100.0)
+        self.model.store.put(self.model.now_ms, "term", "k1", None)  # the limit is four entries of this kind
+        self.model.store.put(self.model.now_ms, "term", "k0", "put", lambda *result: results.append(result))
         for _ in range(60):
-            self.world.advance([], 10.0)
-        assert told == [(True, "")]
+            self.model.advance([], 10.0)
+        assert results == [(True, "")]
 
 
-def calls_of_a_life(folder):
-    site = Site(folder)
-    with site.faults.installed():
-        site.live(1)
-        before = site.faults.count
-        site.world.shut_down()
-        site.found("kill")
-        site.live(2)
-        return site.faults.count - before
+def count_file_calls(folder):
+    """Count the file calls of a graceful shutdown and of the incarnation after it."""
+    run = FolderRun(folder)
+    with run.faults.installed():
+        run.run_incarnation(1)
+        before = run.faults.count
+        run.model.shut_down()
+        run.check_after("kill")
+        run.run_incarnation(2)
+        return run.faults.count - before
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("interruption", INTERRUPTIONS)
 @pytest.mark.parametrize("times", [1, 3, ALWAYS])
-def test_reported_changes_are_found_when_any_file_call_fails_once_or_repeatedly(tmp_path, end, times):
-    count = calls_of_a_life(tmp_path / "measured")
+def test_reported_changes_are_found_when_any_file_call_fails_once_or_repeatedly(
+    tmp_path, interruption, times
+):
+    count = count_file_calls(tmp_path / "measured")
     for at, (error, half) in product(range(0, count), ((errno.ENOSPC, True), (errno.EIO, False))):
-        site = Site(tmp_path / f"{at}-{error}")
-        with site.faults.installed():
-            site.live(1)
-            site.world.shut_down()
-            site.found("kill")
-            site.faults.plan = Faults(site.faults.count + at, times, error, half=half)
-            with suppress(OSError):  # of the start
-                site.live(2)
+        run = FolderRun(tmp_path / f"{at}-{error}")
+        with run.faults.installed():
+            run.run_incarnation(1)
+            run.model.shut_down()
+            run.check_after("kill")
+            run.faults.plan = Faults(run.faults.count + at, times, error, half=half)
+            with suppress(OSError):  # opening the store may fail
+                run.run_incarnation(2)
                 if times < ALWAYS:
-                    site.works_again()
-            site.found(end)
-            site.live(3)
-            site.works_again()
-            site.found("cut")
-            assert site.world.inspect().entries["term", "k0"] == b'"put"'
+                    run.check_recovery()
+            run.check_after(interruption)
+            run.run_incarnation(3)
+            run.check_recovery()
+            run.check_after("cut")
+            assert run.model.inspect().entries["term", "k0"] == b'"put"'
 
 
 @pytest.mark.parametrize("name", ["a failed sync done again", "no sync of the folder", "told before sync"])
 def test_file_faults_detect_the_mutants(tmp_path, name):
-    count, broken = calls_of_a_life(tmp_path / "measured"), 0
+    count, detected = count_file_calls(tmp_path / "measured"), 0
     for at in range(count):
-        site = Site(tmp_path / str(at), MUTANTS[name])
-        with site.faults.installed():
-            site.live(1)
-            site.found("kill")
-            site.faults.plan = Faults(site.faults.count + at)
-            site.live(2)
+        run = FolderRun(tmp_path / str(at), MUTANTS[name])
+        with run.faults.installed():
+            run.run_incarnation(1)
+            run.check_after("kill")
+            run.faults.plan = Faults(run.faults.count + at)
+            run.run_incarnation(2)
             try:
-                site.found("cut")
+                run.check_after("cut")
             except (InvariantViolationError, UnreadableFolderError):
-                broken += 1
-    assert broken
+                detected += 1
+    assert detected
 
 
-@pytest.mark.parametrize("end", ENDS)
-def test_a_kill_at_any_file_call_loses_no_reported_change(tmp_path, end):
-    count = calls_of_a_life(tmp_path / "measured")
+@pytest.mark.parametrize("interruption", INTERRUPTIONS)
+def test_a_kill_at_any_file_call_loses_no_reported_change(tmp_path, interruption):
+    count = count_file_calls(tmp_path / "measured")
     for at, half in product(range(count), (False, True)):
-        site = Site(tmp_path / f"{at}-{half}")
-        with site.faults.installed():
-            site.live(1)
-            site.found("kill")
-            site.faults.plan = Faults(kill_at=site.faults.count + at, half=half)
+        run = FolderRun(tmp_path / f"{at}-{half}")
+        with run.faults.installed():
+            run.run_incarnation(1)
+            run.check_after("kill")
+            run.faults.plan = Faults(kill_at=run.faults.count + at, half=half)
             with suppress(Killed):
-                site.live(2)
-            site.found(end)
-            site.live(3)
-            site.works_again()
-            site.found("cut")
+                run.run_incarnation(2)
+            run.check_after(interruption)
+            run.run_incarnation(3)
+            run.check_recovery()
+            run.check_after("cut")
 
 
 def test_short_writes_are_continued(tmp_path):
-    site = Site(tmp_path / "folder")
-    with site.faults.installed():
-        site.faults.plan = Faults(most_bytes=5)
-        site.live(1)
-        site.world.shut_down()
-        assert site.world.store.core.finished
-        site.found("cut")
-        assert site.world.inspect().closed_cleanly
+    run = FolderRun(tmp_path / "folder")
+    with run.faults.installed():
+        run.faults.plan = Faults(most_bytes=5)
+        run.run_incarnation(1)
+        run.model.shut_down()
+        assert run.model.store.core.finished
+        run.check_after("cut")
+        assert run.model.inspect().closed_cleanly
 
 
 def test_a_log_truncated_at_any_byte_gives_back_the_groups_before_it(tmp_path):
-    site = Site(tmp_path / "folder")
-    folder, heads, turns = site.faults.folder, [], 0
-    with site.faults.installed():
-        site.live(1)
-        while len(heads) <= 4:  # a head and some groups
-            site.world.run(Random(turns := turns + 1), 1)
-            last = max(folder.glob("log-*.seg"), key=lambda path: int(path.stem[4:]))
-            data = last.read_bytes()
-            heads = [at for at in range(len(data)) if data.startswith(b"fwv1", at)]
-        site.faults.kill()
+    run = FolderRun(tmp_path / "folder")
+    folder, record_starts, iterations = run.faults.folder, [], 0
+    with run.faults.installed():
+        run.run_incarnation(1)
+        while len(record_starts) <= 4:  # a file header and some groups
+            run.model.run(Random(iterations := iterations + 1), 1)
+            log_path = max(folder.glob("log-*.seg"), key=lambda path: int(path.stem[4:]))
+            data = log_path.read_bytes()
+            record_starts = [at for at in range(len(data)) if data.startswith(b"fwv1", at)]
+        run.faults.kill()
     numbers = []
-    for size in range(heads[1], len(data) + 1):
-        with open(last, "r+b") as file:
+    for size in range(record_starts[1], len(data) + 1):
+        with open(log_path, "r+b") as file:
             file.truncate(0)
             file.write(data[:size])
-        found = site.world.inspect()
+        found = run.model.inspect()
         numbers.append(found.position.number)
-        site.world.check_written(found)
-        assert found.torn_bytes == size - max(at for at in [*heads, len(data)] if at <= size)
+        run.model.check_written(found)
+        assert found.torn_bytes == size - max(at for at in [*record_starts, len(data)] if at <= size)
     assert numbers == sorted(numbers)
-    assert len(set(numbers)) == len(heads)
+    assert len(set(numbers)) == len(record_starts)
--- a/tests/support/promise_process.py
+++ b/tests/support/promise_process.py
@@ -1,10 +1,10 @@
-"""A process that only writes promises into a durable store, and what a folder holds of them."""
+"""A process that writes increasing numbers to a durable store, and a reader of the last stored number."""
 
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
 from fawnwharf.durable_store.store import inspect_folder
 
-# Its arguments: the folder. Counts on from what is there, and tells each number once it is on disk.
+# Takes the folder as its argument. Counts on from the stored number, and prints each number that is on disk.
 WRITING = """
 import sys, time
 from fawnwharf.durable_store.file_format import Durability, EntryKind, StoreLimits
@@ -18,8 +18,8 @@
 sys.stderr.write("serving on it\\n")
 while True:
     n += 1
-    said = lambda ok, why, n=n: ok and sys.stderr.write(f"told {n}\\n")  # whole, or not at all
-    store.put(monotonic_ms(), "term", "t", n, said)
+    on_commit = lambda ok, why, n=n: ok and sys.stderr.write(f"told {n}\\n")  # one write: no partial line
+    store.put(monotonic_ms(), "term", "t", n, on_commit)
     for _ in range(3):
         store.advance(monotonic_ms())
         time.sleep(0.0005)
@@ -27,6 +27,6 @@
 
 
 def found_in(path):
-    """The last number that is there, once the folder's lock is free."""
+    """Wait for the folder's lock to be released, and return the last stored number."""
     unlock_folder(lock_folder(path, within_s=20.0))
     return int(inspect_folder(DiskFolder(path), "fleet", "a", f.StoreLimits()).entries.get(("term", "t"), 0))
