--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -70,7 +70,7 @@
         self._synced_in_log = 0  # largest value of `synced` that the open log records
         self._synced_ms = 0.0  # when `synced` last changed
 
-        self._rewrite: Rewrite | None = None  # the steps that replace the files, while this is going on
+        self._rewrite: Rewrite | None = None  # the rewrite in progress, if any
         self._rewrite_result: JobResult | None = None
         self._rewrite_is_next = False  # jobs of groups and of rewrites alternate
         self._step: Step | None = None  # the job in progress
@@ -109,7 +109,7 @@
         return self._last_ticket
 
     def shut_down(self) -> None:
-        """Accept no further changes; the last group written marks the shutdown as graceful."""
+        """Reject further changes. The last group written contains the pending ones and marks the shutdown."""
         self._shutting_down = True
 
     def confirm(self) -> None:
@@ -215,8 +215,8 @@
         return [TicketResult(ticket, False, "the disk is slow") for ticket in expired]
 
     def _fail(self, now_ms: float, why: str) -> list[TicketResult]:
-        # A failed sync may have lost earlier data of the same file, and a second sync would succeed without
-        # writing it. So the file is abandoned, and all entries are rewritten.
+        # A failed sync may have lost earlier data of the same file, and a second sync would not report that.
+        # So the file is abandoned, and all entries are rewritten.
         self._faults.record(now_ms, why)
         self._log = ""
         self._rewrite = None
--- a/fawnwharf/durable_store/crash_simulation.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -44,20 +44,23 @@
     """
     complete = SimulatedFolder()
     run_script(complete)
-    for at, (operation, size) in enumerate(complete.disk.marks):
-        yield at, -1
+    for operation_index, (operation, size) in enumerate(complete.disk.marks):
+        yield operation_index, -1
         if operation == "append":
-            yield from ((at, byte) for byte in range(0, size + 1, step))
+            yield from ((operation_index, byte) for byte in range(0, size + 1, step))
 
 
-def interrupted_run(at: int, byte: int, share: float, second_at: int, mutant: Mutant = UNCHANGED) -> None:
+def interrupted_run(
+    operation_index: int, byte: int, share: float, second_at: int, mutant: Mutant = UNCHANGED
+) -> None:
     """Interrupt the scripted run with a power loss, and start a store again afterwards.
 
-    A second power loss during this start happens at the operation `second_at`, unless it is negative. Raises
+    The power is lost at byte `byte` of the operation, and `share` of the unsynced data survives. A second power
+    loss happens during the start, at the operation `second_at`, unless this is negative. Raises
     InvariantViolationError and UnreadableFolderError.
     """
-    rng = Random(at * 1_000_003 + byte)
-    folder = SimulatedFolder(mutant, MemoryDisk(Plan(cut_at=at, cut_byte=byte)))
+    rng = Random(operation_index * 1_000_003 + byte)
+    folder = SimulatedFolder(mutant, MemoryDisk(Plan(cut_at=operation_index, cut_byte=byte)))
     with contextlib.suppress(PowerCut):
         run_script(folder)
     folder.disk = folder.disk.reboot(rng, share)
@@ -89,10 +92,10 @@
             folder.disk = folder.disk.reboot(rng, rng.choice(SURVIVING_SHARES))
         folder.check(folder.inspect())
         older_copy = older_copy or folder.disk.copy(rng.random() < 0.5)
-    last = rng.random()
-    if last < 0.25 and folder.disk.names():
+    ending = rng.random()
+    if ending < 0.25 and folder.disk.names():
         return _outcome_of_flipped_bit(rng, folder)
-    if last < 0.4 and older_copy is not None:
+    if ending < 0.4 and older_copy is not None:
         return _outcome_of_older_copy(folder, older_copy)
     return AS_REPORTED
 
@@ -138,7 +141,7 @@
     folder.check_written(found)
     if found.position.number >= folder.last_reported:
         return "ignored syncs: no reported change lost"
-    if not found.fresh and not rollback_reason(found, [folder.reported]):
+    if not found.fresh and not rollback_reason(found, [folder.sent_position]):
         raise InvariantViolationError(
             "reported changes are lost, and the positions known to other members do not show it"
         )
@@ -169,7 +172,7 @@
             f"a flipped bit is accepted, although a later record shows that group {max(reported_numbers)} "
             "was reported"
         )
-    if not rollback_reason(found, [folder.reported]):
+    if not rollback_reason(found, [folder.sent_position]):
         raise InvariantViolationError(
             "the last group is lost by a flipped bit, and the positions known to other members do not show it"
         )
@@ -186,7 +189,7 @@
         return "older copy: folder rejected, as its files are copies"
     if found.fresh:
         return "older copy: an empty folder"
-    if rollback_reason(found, [folder.reported]):
+    if rollback_reason(found, [folder.sent_position]):
         return "older copy: detected only by other members' positions"
     if not same_files and found.position.number < folder.last_reported:
         raise InvariantViolationError("an older copy is not detected")
@@ -199,29 +202,29 @@
 def check_points(step: int, max_runs: int, mutant: Mutant = UNCHANGED) -> int:
     """Interrupt the scripted run at all points; return the number of runs. Raises InvariantViolationError."""
     count = 0
-    for (at, byte), (index, share) in itertools.product(
+    for (operation_index, byte), (index, share) in itertools.product(
         interruption_points(step), enumerate(SURVIVING_SHARES)
     ):
         if count >= max_runs:
             break
-        with mutant.patch(), _named(f"point {at}.{byte} share {share}"):
-            interrupted_run(at, byte, share, (at + 3 * index) % 14, mutant)
+        with mutant.patch(), _name_in_errors(f"point {operation_index}.{byte} share {share}"):
+            interrupted_run(operation_index, byte, share, (operation_index + 3 * index) % 14, mutant)
         count += 1
     return count
 
 
 def check_random(runs: int, seed: int, mutant: Mutant = UNCHANGED) -> dict[str, int]:
     """Perform random runs of successive seeds; count them by outcome. Raises InvariantViolationError."""
-    ends: dict[str, int] = collections.Counter()
+    outcome_counts: dict[str, int] = collections.Counter()
     with mutant.patch():
         for run_seed in range(seed, seed + runs):
-            with _named(f"seed {run_seed}"):
-                ends[random_run(run_seed, mutant)] += 1
-    return ends
+            with _name_in_errors(f"seed {run_seed}"):
+                outcome_counts[random_run(run_seed, mutant)] += 1
+    return outcome_counts
 
 
 @contextlib.contextmanager
-def _named(name: str) -> Iterator[None]:
+def _name_in_errors(name: str) -> Iterator[None]:
     """Add the name of the run to the error it raises."""
     try:
         yield
@@ -246,8 +249,8 @@
     try:
         if options.points:
             print(f"{check_points(options.points, 10**9, mutant):8} interruptions of the scripted run")
-        for end, count in sorted(check_random(options.runs, options.seed, mutant).items()):
-            print(f"{count:8} {end}")
+        for outcome, count in sorted(check_random(options.runs, options.seed, mutant).items()):
+            print(f"{count:8} {outcome}")
     except InvariantViolationError as error:
         print(f"invariant violated: {error}")
         return 1
--- a/fawnwharf/durable_store/simulated_folder.py
+++ b/fawnwharf/durable_store/simulated_folder.py
@@ -96,9 +96,7 @@
     written: dict[int, file_format.Entries] = field(default_factory=_empty_committed)  # by group number
     last_reported_when_written: dict[int, int] = field(default_factory=dict)  # by group number
     last_reported: int = 0  # number of the last group reported as being on disk
-    reported: FolderPosition = field(
-        default_factory=_unknown_position
-    )  # the latest position sent to other members
+    sent_position: FolderPosition = field(default_factory=_unknown_position)  # latest, to other members
     now_ms: float = 0.0
     last_closed: int = 0  # last incarnation whose graceful shutdown was completed
     closing: set[int] = field(default_factory=set)  # incarnations that were told to shut down
@@ -137,7 +135,7 @@
                 f"group {number} is found, but group {self.last_reported} was reported"
             )
         self._check_shutdown(found)
-        if found.position.disk_id and (why := rollback_reason(found, [self.reported])):
+        if found.position.disk_id and (why := rollback_reason(found, [self.sent_position])):
             raise InvariantViolationError(f"a power loss is mistaken for an older copy: {why}")
         self.written = {at: entries for at, entries in self.written.items() if at <= number}
         self.last_reported_when_written = {
@@ -173,8 +171,8 @@
             with contextlib.suppress(ChangeRejectedError):
                 self.store.put(self.now_ms, kind, key, value, note_commit)
         self.store.advance(self.now_ms)
-        positions = (self.reported, self.store.position())
-        self.reported = max(positions, key=lambda position: (position.incarnation, position.number))
+        positions = (self.sent_position, self.store.position())
+        self.sent_position = max(positions, key=lambda position: (position.incarnation, position.number))
         self.now_ms += pause_ms
 
     def shut_down(self) -> None:
