--- a/fawnwharf/durable_store/crash_simulation.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -55,8 +55,8 @@
 ) -> None:
     """Interrupt the scripted run with a power loss, and start a store again afterwards.
 
-    The power is lost at byte `byte` of the operation, and `share` of the unsynced data survives. A second power
-    loss happens during the start, at the operation `second_at`, unless this is negative. Raises
+    The power is lost at byte `byte` of the operation, and `share` of the unsynced data survives. A second
+    power loss happens during the start, at the operation `second_at`, unless this is negative. Raises
     InvariantViolationError and UnreadableFolderError.
     """
     rng = Random(operation_index * 1_000_003 + byte)
--- a/fawnwharf/durable_store/writer_process.py
+++ b/fawnwharf/durable_store/writer_process.py
@@ -211,10 +211,8 @@
 
 def serve(execute: Callable[[DiskJob], JobResult]) -> None:
     """Read jobs, execute each with `execute`, and write its result, until the input ends."""
-    for signal_number in (
-        signal.SIGINT,
-        signal.SIGTERM,
-    ):  # the front end stops this process by closing its input
+    # The front end stops this process by closing its input.
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(signal_number, signal.SIG_IGN)
     jobs = sys.stdin.buffer
     while length := _read_exactly(jobs, _LENGTH.size):
