--- a/fawnwharf/recovery_service/actions.py
+++ b/fawnwharf/recovery_service/actions.py
@@ -1,4 +1,4 @@
-"""Actions of permit issuing, for the owner of the logs, the decision module and recovery admission."""
+"""Actions returned by permit issuing: messages to send, load orders, and results for recovery admission."""
 
 from msgspec import Struct
 
@@ -7,27 +7,30 @@
 
 
 class SendPermitMessage(Struct, frozen=True):
-    """Send this to these members, or to all that listen where none is named."""
+    """Send a message to the named members, or to all members if `to` is empty."""
 
     to: tuple[str, ...]
     message: PermitMessage
 
 
 class LoadOrder(Struct, frozen=True):
-    """An event for the decision module, or a `Hold` of no copies: a query to the scorer."""
+    """An event for the decision module, or an `OrderCopies` of zero copies, which queries the scorer."""
 
     event: io.PrefetchRequested | io.OrderCopies
 
 
 class SlowStartPermit(Struct, frozen=True):
-    """For a call that waits in admission: 0 lets it go now, else none is free for so many milliseconds."""
+    """The answer to a permit request of a call that waits in admission.
+
+    A `wait_ms` of 0 grants the permit; otherwise no permit is free for that many milliseconds.
+    """
 
     key: str
     wait_ms: float
 
 
 class CopyAvailable(Struct, frozen=True):
-    """A copy of this function exists, as far as is known here: calls that wait for it may go."""
+    """A copy of this function is known to exist, so calls that wait for it may proceed."""
 
     function: str
 
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -1,10 +1,12 @@
-"""One member's part after a power loss: its startup queries, its phase, and the fleet's phase where it leads.
+"""Recovery of one member after a power loss: its startup queries, its phase and, on the leader, the fleet's.
 
-Pure: others' messages, decisions of the consensus log and ticks come in with a time, effects go out in order.
-`SendMessage` is for others; `ProposeRegister` is to be proposed to the consensus log at once, as kind
-`recovery`. Nothing depends on the delivery of a message. A front end follows the leader's announcements once
-that voter has answered it in this incarnation: it reported its boot before it asked, and a log keeps its
-order, so the announcement was sent by a leader that knew of this incarnation.
+This module does no I/O. It takes messages of other members, decisions of the consensus log and ticks, each
+with a time, and returns effects in order. The caller proposes each `ProposeRegister` to the consensus log at
+once, with the kind `recovery`. Every message may be lost.
+
+A front end follows a leader's announcements only after that voter has answered one of its queries in this
+incarnation. The front end reports its boot before it sends a query, and a log preserves order. So the leader
+knew of this incarnation when it sent the announcement.
 """
 
 from collections import Counter
@@ -27,7 +29,7 @@
     SendMessage,
 )
 from fawnwharf.recovery_service.agent_queries import CHANGE_LOG, answer_query, create_startup_queries
-from fawnwharf.recovery_service.agent_settings import CALM_INTERVAL_FACTOR, AgentIdentity, AgentSettings
+from fawnwharf.recovery_service.agent_settings import NORMAL_INTERVAL_FACTOR, AgentIdentity, AgentSettings
 from fawnwharf.recovery_service.folder_positions import FolderPositions
 from fawnwharf.recovery_service.messages import (
     BootReport,
@@ -40,19 +42,19 @@
 from fawnwharf.zones.log_lines import ConsensusStatus
 
 TICK_MS = 50.0
-CALM_TICK_MS = 250.0
-ISSUED_ALONE_MS = 2_000.0  # loads and calls of permits that were issued while partitioned end within that
+NORMAL_TICK_MS = 250.0
+PARTITIONED_PERMIT_USE_MS = 2_000.0  # loads and calls with permits issued while partitioned end within this
 
 
 class _LeaderDelay(NamedTuple):
-    """The least delay of a leader's announcements, which stands for the difference of the two clocks."""
+    """The smallest delay seen in a leader's announcements: an estimate of the offset between the clocks."""
 
     incarnation: int = 0
     least_ms: float = 0.0
 
 
 class RecoveryAgent:
-    """Owns the queries of one incarnation of a front end, its phase, and its part in leading."""
+    """Runs the startup queries of one incarnation, follows the recovery phase, and leads where elected."""
 
     def __init__(
         self,
@@ -63,7 +65,7 @@
         status: LocalStatus,
         now_ms: float,
     ) -> None:
-        """Begin with the startup queries."""
+        """Create the startup queries; the first `tick` sends them."""
         self.identity = identity
         self.settings = settings
         self.lists = lists
@@ -73,35 +75,36 @@
         self.queries = create_startup_queries(identity, settings, lists, status, now_ms)
         self.follower = PhaseFollower(settings.timing, now_ms)
         timing = LeaderTiming(
-            settings.calm_report_valid_ms, settings.report_valid_ms, settings.announce_interval_ms
+            settings.normal_report_valid_ms, settings.report_valid_ms, settings.announce_interval_ms
         )
         self.leader = RecoveryLeader(settings.timing, lists, timing)
         self._positions = FolderPositions()
         self._delays: dict[str, _LeaderDelay] = {}  # by leader
         self._voters_heard_ms: dict[str, float] = {}
-        self._term = 0  # the largest of a leader that was followed
+        self._term = 0  # the highest term of a leader that was followed
         self._applied: ApplyPhase | None = None
-        self._issued_alone_ms = float("-inf")  # loads were allowed here, and by no phase of the leader's
+        # When loads were last allowed here without a phase announced by a leader.
+        self._issued_while_partitioned_ms = float("-inf")
         self._report_due_ms = now_ms
-        self._query_leader_due_ms = now_ms  # one that has not answered yet
+        self._query_leader_due_ms = now_ms  # when a leader that has not answered yet may be queried
         self._queries_logged = False
 
     @property
     def queries_done(self) -> bool:
-        """Whether all startup queries are answered, or gone on without."""
+        """Whether every startup query was answered or has timed out."""
         return self.queries.finished
 
     @property
     def power_loss(self) -> int:
-        """The number of the last power loss, by the register that is followed."""
+        """The number of the last power loss in the register that is followed; 0 without one."""
         return self.follower.register.cut if self.follower.register is not None else 0
 
     def phase(self, now_ms: float) -> RecoveryPhase | None:
-        """The phase that is followed; None while partitioned."""
+        """The recovery phase of this front end; None while partitioned."""
         return self.follower.phase(now_ms)
 
     def allowed(self, now_ms: float) -> AllowedActions:
-        """What this front end does now."""
+        """What this front end may do now."""
         allowed = self.follower.allowed(now_ms, self.settings.weights)
         if allowed is None:
             share = partitioned.budget_share(self.status.reachable, len(self.lists.members))
@@ -114,16 +117,16 @@
         return allowed if self.queries_done else replace(allowed, status=False)
 
     def voters_heard(self, now_ms: float) -> tuple[str, ...]:
-        """Voters from which a message came lately."""
-        valid_ms = self.settings.calm_report_valid_ms
+        """Voters from which a message arrived recently, sorted."""
+        valid_ms = self.settings.normal_report_valid_ms
         heard = self._voters_heard_ms.items()
         return tuple(sorted(name for name, at_ms in heard if now_ms - at_ms < valid_ms))
 
     def store_confirmed(self) -> bool:
-        """Whether nothing is missed any more that the store did not have.
+        """Whether other members have supplied everything that the store may have lost.
 
-        Most voters go by this list of members, or by an earlier one, and the replica here knows all that it
-        granted.
+        A majority of the voters has this membership or an earlier one, and the local replica knows all its
+        grants.
         """
         lists = self.lists
         if self.queries.state(QueryTopic.MEMBERS) is not QueryState.ANSWERED:
@@ -143,7 +146,7 @@
     # --- messages -------------------------------------------------------------------------------
 
     def receive_by_zones(self, now_ms: float, sender: str, message: RecoveryMessage) -> list[Effect]:
-        """Take a member's message from its zones' log."""
+        """Handle a message from the zones log of a member."""
         if sender not in self.lists.members:
             return self._drop(DropReason.UNKNOWN_MEMBER)
         if sender in self.lists.voters:
@@ -165,7 +168,7 @@
         return self._receive_announcement(now_ms, sender, message)
 
     def receive_by_replication(self, now_ms: float, sender: str, message: RecoveryMessage) -> list[Effect]:
-        """Take a member's message from its replication log: queries to replicas, and their answers."""
+        """Handle a message from the replication log of a member: a query to replicas or an answer to one."""
         if sender not in self.lists.members:
             return self._drop(DropReason.UNKNOWN_MEMBER)
         if isinstance(message, Query):
@@ -224,7 +227,7 @@
         return [*effects, *self._apply(now_ms)]
 
     def _query_leader(self, now_ms: float, sender: str) -> list[Effect]:
-        """Query a leader that may not know of this incarnation yet."""
+        """Query a leader that may not know this incarnation yet, after reporting the boot to it."""
         if now_ms < self._query_leader_due_ms:
             return []
         self._query_leader_due_ms = now_ms + self.settings.query_pace.again_ms
@@ -234,7 +237,7 @@
     # --- the consensus log ----------------------------------------------------------------------
 
     def decided(self, now_ms: float, text: str) -> list[Effect]:
-        """Take a register that the consensus log decided, whichever voter proposed it."""
+        """Handle a register that the consensus log decided, whichever voter proposed it."""
         try:
             effects = self.leader.decided(now_ms, text)
         except RegisterError as error:
@@ -242,15 +245,15 @@
         return [*effects, *self._lead(now_ms)]
 
     def proposal_dropped(self) -> None:
-        """Take that a proposed register certainly never came into the log."""
+        """Handle that a proposed register certainly never entered the log."""
         self.leader.coordinator.proposal_failed()
 
     def update_term(self, now_ms: float) -> list[Effect]:
-        """Take that the voter may lead, or not lead any more."""
+        """Handle that the local voter may have gained or lost the leadership."""
         return [*self.leader.update_term(now_ms, self.consensus_status(now_ms))]
 
     def update_members(self, now_ms: float, lists: MemberLists) -> list[Effect]:
-        """Go by a later file of members."""
+        """Use a later version of the membership file."""
         self.lists = lists
         self.leader.update_members(lists)
         self.queries.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.REPLICAS: lists.replicas}
@@ -260,18 +263,21 @@
     # --- time -----------------------------------------------------------------------------------
 
     @property
-    def _is_calm(self) -> bool:
+    def _is_normal(self) -> bool:
         return self._applied is not None and self._applied.phase is RecoveryPhase.NORMAL
 
     def due_ms(self, now_ms: float) -> float:
-        """When `tick` is to be called next."""
-        interval_ms = CALM_TICK_MS if self._is_calm and not self.leader.term else TICK_MS
+        """When to call `tick` next."""
+        interval_ms = NORMAL_TICK_MS if self._is_normal and not self.leader.term else TICK_MS
         due_ms = min(now_ms + interval_ms, self._report_due_ms)
         queries_due_ms = self.queries.due_ms()
         return due_ms if queries_due_ms is None else min(due_ms, queries_due_ms)
 
     def tick(self, now_ms: float, status: LocalStatus) -> list[Effect]:
-        """Do what is due; to be called at `due_ms` at the latest. `status` counts until the next call."""
+        """Send due queries, reports and announcements; call this no later than `due_ms`.
+
+        `status` is used until the next call.
+        """
         self.status = status
         if status.knows_grants:
             self.queries.answer_by_itself(now_ms, QueryTopic.GRANTS)
@@ -280,11 +286,11 @@
         effects: list[Effect] = self.update_term(now_ms)
         effects += self._due_queries(now_ms)
         if any(isinstance(effect, SendMessage) for effect in effects):
-            effects.insert(0, self._boot_message())  # a voter that answers knows it then
+            effects.insert(0, self._boot_message())  # so that a voter knows this boot before it answers
         effects += self._apply(now_ms)
         report = self._status_report(now_ms)
         if now_ms >= self._report_due_ms:
-            factor = CALM_INTERVAL_FACTOR if self._is_calm else 1
+            factor = NORMAL_INTERVAL_FACTOR if self._is_normal else 1
             self._report_due_ms = now_ms + self.settings.report_interval_ms * factor
             effects += [self._boot_message(), SendMessage((), report)]
         self.leader.receive_boot(now_ms, self.identity.name, self._boot_report())
@@ -321,11 +327,11 @@
             incarnation=self.identity.incarnation,
             queries_done=self.queries_done,
             knows_grants=self.status.knows_grants,
-            issued_alone=now_ms - self._issued_alone_ms < ISSUED_ALONE_MS,
+            issued_while_partitioned=now_ms - self._issued_while_partitioned_ms < PARTITIONED_PERMIT_USE_MS,
         )
 
     def _lead(self, now_ms: float) -> list[Effect]:
-        """What the leader decides, and its announcement to all, itself included."""
+        """Evaluate the reports and announce the phase to all members and to this one, if it leads."""
         effects: list[Effect] = [*self.leader.tick(now_ms, self.consensus_status(now_ms))]
         register = self.leader.announcement(now_ms, self.consensus_status(now_ms))
         if register is not None:
@@ -335,7 +341,7 @@
         return effects
 
     def _apply(self, now_ms: float) -> list[Effect]:
-        """What follows for this front end, where that has changed."""
+        """Return the phase and permissions to apply if they have changed, with their log events."""
         effects: list[Effect] = []
         if self.queries_done and not self._queries_logged:
             self._queries_logged = True
@@ -345,7 +351,7 @@
         allowed = applied.allowed
         by_leader = applied.phase is not None and applied.phase >= RecoveryPhase.PRIORITY_CALLS
         if allowed.loads and not allowed.spill and not by_leader:
-            self._issued_alone_ms = now_ms
+            self._issued_while_partitioned_ms = now_ms
         before = self._applied
         if applied == before:
             return effects
@@ -355,7 +361,7 @@
             fields = _logged_fields(applied) | {"status": allowed.status}
             effects.append(LogEvent("recovery phase", fields))
         if before is not None and before.phase is not applied.phase:
-            self._report_due_ms = min(self._report_due_ms, now_ms)  # at another interval from now on
+            self._report_due_ms = min(self._report_due_ms, now_ms)  # the report interval has changed
         return effects
 
     def _phase_to_apply(self, now_ms: float) -> ApplyPhase:
@@ -372,6 +378,6 @@
 
 
 def _logged_fields(applied: ApplyPhase) -> dict[str, object]:
-    """What is logged of a phase where it changes."""
+    """The fields to log when a phase changes."""
     phase = "partitioned" if applied.phase is None else applied.phase.label
     return {"phase": phase, "power_loss": applied.power_loss, "share": applied.allowed.part}
--- a/fawnwharf/recovery_service/agent_actions.py
+++ b/fawnwharf/recovery_service/agent_actions.py
@@ -1,4 +1,4 @@
-"""What the recovery agent is told of its own front end, and the effects that it hands back."""
+"""Effects that the recovery agent returns, and the status of its own front end that it is given."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,25 +13,25 @@
 
 
 class SendMessage(Struct, frozen=True):
-    """Send this to these members, or to all that listen where none is named."""
+    """Send a message to the named members, or to all members if `to` is empty."""
 
     to: tuple[str, ...]
     message: RecoveryMessage
-    by_zones: bool = True  # by the zones' logs, else by the replication logs
+    by_zones: bool = True  # through the zones log; False: through the replication log
 
 
 class ApplyPhase(Struct, frozen=True):
-    """Go by this from now on."""
+    """Apply a recovery phase and its permissions to the front end."""
 
     allowed: AllowedActions
     phase: RecoveryPhase | None  # None: partitioned
     power_loss: int
-    front_ends: int = 1  # among which what is allowed is divided
-    assignment: PermitAssignment | None = None  # None: by who is reachable
+    front_ends: int = 1  # the number of front ends that share the allowed rate
+    assignment: PermitAssignment | None = None  # None: permits are assigned by reachability
 
 
 class PositionReported(Struct, frozen=True):
-    """Others know this position of the own folder, from before this incarnation."""
+    """Another member knows this position of the local store folder from an earlier incarnation."""
 
     position: FolderPosition
 
@@ -40,7 +40,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a message was dropped, as counted."""
+    """Why a message was dropped; the values name the counters."""
 
     UNKNOWN_MEMBER = "unknown member"
     OTHER_INCARNATION = "to another incarnation"
@@ -52,7 +52,7 @@
 
 
 class PlanVersion(NamedTuple):
-    """The last plan in a voter's log, decided or not."""
+    """The last zone plan in a voter's log, decided or not."""
 
     number: int
     digest: str
@@ -60,16 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalStatus:
-    """What this front end knows of itself at a moment."""
+    """The state of the local front end at one moment."""
 
-    settled: bool  # its store has rewritten all: what was found may be reported
-    complete: bool  # its store has all that it ever reported
-    knows_grants: bool  # its replica knows all that it granted; True where it has none
-    votes: bool  # its voter may vote by its disk
+    settled: bool  # its store has rewritten all recovered entries, so they may be reported
+    complete: bool  # its store has everything that it ever reported
+    knows_grants: bool  # its replica knows all its grants; True without a replica
+    votes: bool  # its voter is allowed to vote, by the state on its disk
     plan: PlanVersion
     position: FolderPosition
-    knows_use: bool = False  # it knows what was called before
+    knows_use: bool = False  # it knows which functions were called before
     roster_received: bool = False  # from the change log, in this incarnation
-    has_scorers: bool = False  # some take calls
-    reachable: int = 1  # front ends, itself among them
-    report: StatusReport | None = None  # its calls, loads and scorers
+    has_scorers: bool = False  # some scorer accepts calls
+    reachable: int = 1  # the number of reachable front ends, including itself
+    report: StatusReport | None = None  # counters of its calls, loads and scorers
--- a/fawnwharf/recovery_service/agent_queries.py
+++ b/fawnwharf/recovery_service/agent_queries.py
@@ -1,4 +1,4 @@
-"""Startup queries of an agent, and answers to those of others, by what it knows of itself. Pure."""
+"""The startup queries of a recovery agent, and its answers to the queries of others. Does no I/O."""
 
 from msgspec import structs
 
@@ -7,13 +7,13 @@
 from fawnwharf.recovery_service.agent_settings import AgentIdentity, AgentSettings
 from fawnwharf.recovery_service.recovery_leader import MemberLists
 
-CHANGE_LOG = "change log"  # as one that answers queries; it is no member
+CHANGE_LOG = "change log"  # stands for a member in roster queries, though it is none
 
 
 def create_startup_queries(
     identity: AgentIdentity, settings: AgentSettings, lists: MemberLists, status: LocalStatus, now_ms: float
 ) -> StartupQueries:
-    """The queries of one incarnation, with the answers that its own store has."""
+    """Create the startup queries of one incarnation, with the answers that its own store provides."""
     own: dict[QueryTopic, tuple[int, str]] = {}
     if identity.name in lists.voters and status.votes and status.complete:
         own[QueryTopic.MEMBERS] = (lists.number, lists.digest)
@@ -34,9 +34,9 @@
 ) -> Answer:
     """Answer a query of the same fleet.
 
-    What is not certain, or was found in a store that is still rewriting its entries, is not reported: such an
-    answer only says whose it is. `is_leased` is whether the own plan is the fleet's last under a leader's
-    lease.
+    State that is uncertain, or that comes from a store that is still rewriting its entries, is not reported:
+    the answer then only identifies the sender. `is_leased` tells whether the local zone plan is the latest
+    one of the fleet, as guaranteed by a leader's lease.
     """
     answer = Answer(query.fleet, query.incarnation, query.sequence, query.topic, incarnation, False)
     topic = QueryTopic(query.topic)
--- a/fawnwharf/recovery_service/agent_settings.py
+++ b/fawnwharf/recovery_service/agent_settings.py
@@ -1,4 +1,4 @@
-"""Which front end a recovery agent belongs to, and what it goes by."""
+"""The identity and settings of a recovery agent."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,25 +6,25 @@
 from fawnwharf.recovery_core.phases import PhaseTiming
 from fawnwharf.recovery_core.queries import QueryPace
 
-CALM_INTERVAL_FACTOR = 4  # in calm a front end reports its status so many times less often
-MISSED_REPORTS = 3  # a member without so many reports is not heard of any more
+NORMAL_INTERVAL_FACTOR = 4  # in normal operation the interval of status reports is this many times longer
+MISSED_REPORTS = 3  # a member counts as silent after this many missed reports
 
 
 @dataclass(frozen=True, slots=True)
 class AgentIdentity:
-    """Which incarnation of which front end this is."""
+    """One incarnation of one front end."""
 
     name: str
     fleet: str
     incarnation: int
-    boot: str  # of its machine; empty where the system has none
+    boot: str  # boot id of its machine; empty if the system has none
 
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """What an agent goes by; durations in milliseconds."""
+    """Settings of a recovery agent; durations in milliseconds."""
 
-    weights: Mapping[str, float]  # of classes
+    weights: Mapping[str, float]  # priority weights by class
     timing: PhaseTiming
     query_pace: QueryPace = field(default_factory=QueryPace)
     report_interval_ms: float = 500.0
@@ -32,10 +32,10 @@
 
     @property
     def report_valid_ms(self) -> float:
-        """For how long a member's report counts in a recovery."""
+        """How long a member's report is valid during a recovery, in milliseconds."""
         return MISSED_REPORTS * self.report_interval_ms
 
     @property
-    def calm_report_valid_ms(self) -> float:
-        """For how long it counts in calm."""
-        return MISSED_REPORTS * CALM_INTERVAL_FACTOR * self.report_interval_ms
+    def normal_report_valid_ms(self) -> float:
+        """How long a member's report is valid in normal operation, in milliseconds."""
+        return MISSED_REPORTS * NORMAL_INTERVAL_FACTOR * self.report_interval_ms
--- a/fawnwharf/recovery_service/call_outcomes.py
+++ b/fawnwharf/recovery_service/call_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of calls as they are counted: stands before recovery admission and sees how each call ends."""
+"""Counts how calls end; a request sink in front of recovery admission that observes each reply."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 class _OpenCall:
     class_name: str
     arrived_ms: float
-    sink_key: str | None = None  # as the request sink knows it
+    sink_key: str | None = None  # its key in the request sink behind this one
 
 
 class CallOutcomeRecorder:
-    """Owns what is known of each call that arrived while calls are counted."""
+    """Tracks each call that arrived while counting is on, until it ends."""
 
     def __init__(
         self,
@@ -25,7 +25,10 @@
         classes: Mapping[str, io.ClassSpec],
         ended: Callable[[float, str, bool], None],
     ) -> None:
-        """`ended` receives the time, the class, and whether the call was served within its promise."""
+        """Pass calls on to `sink`.
+
+        `ended` receives the time, the class, and whether the call was served within its latency target.
+        """
         self.sink = sink
         self.classes = classes
         self.counting = True
@@ -34,7 +37,7 @@
         self._number = 0
 
     def take(self, call: Call) -> str | None:
-        """Take a call, as `RequestTable.take`."""
+        """Accept a call, as `RequestTable.take` does."""
         if not self.counting:
             return self.sink.take(call)
         self._number += 1
@@ -50,7 +53,7 @@
         sink_key = self.sink.take(call)
         if key not in self._open:
             return None
-        if sink_key is None:  # the sink has dropped it without an answer
+        if sink_key is None:  # the sink dropped it without a reply
             del self._open[key]
             return None
         self._open[key].sink_key = sink_key
@@ -65,9 +68,10 @@
         self._ended(now_ms, call.class_name, in_time)
 
     def withdraw(self, key: str) -> None:
-        """Forget a call whose client waits no more.
+        """Forget a call whose client no longer waits.
 
-        Before its promise was over that says nothing of how calls are served, and it is not counted.
+        A call that is withdrawn within its latency target is not counted, as it does not show how well calls
+        are served.
         """
         call = self._open.get(key)
         if call is None:
--- a/fawnwharf/recovery_service/claim_status.py
+++ b/fawnwharf/recovery_service/claim_status.py
@@ -1,4 +1,4 @@
-"""What this front end knows by itself of the claims on at-most-once calls, for recovery admission."""
+"""What this front end knows locally about the claims on at-most-once calls, for recovery admission."""
 
 from typing import Protocol
 
@@ -9,38 +9,38 @@
 
 
 class ClaimStatus(Protocol):
-    """What admission asks of the claims."""
+    """The queries about claims that admission makes."""
 
     def is_repeat(self, call: Call, /) -> bool:
-        """Whether a call has its answer, or never gets one, by what is stored here."""
+        """Whether local state shows that the call was answered or will never be run again."""
 
     def requires_grant(self, class_name: str, /) -> bool:
-        """Whether calls of the class run only with grants of their replicas."""
+        """Whether a call of the class runs only after its replicas have granted it."""
 
 
 class NoClaims:
-    """The status where there is no claim gate."""
+    """Claim status of a front end without a claim gate."""
 
     def is_repeat(self, _call: Call, /) -> bool:
-        """No call is known."""
+        """Return False: no call is known."""
         return False
 
     def requires_grant(self, _class_name: str, /) -> bool:
-        """No class needs grants."""
+        """Return False: no class needs grants."""
         return False
 
 
 class StoredClaims:
-    """The status by the claim gate and this front end's own claim store, without a query to others."""
+    """Claim status read from the claim gate and the local claim store, without queries to other members."""
 
     def __init__(self, gate: ClaimGate, core: ReplicationCore) -> None:
         self._gate = gate
         self._core = core
 
     def is_repeat(self, call: Call) -> bool:
-        """Whether the call is in progress here, or was answered, or may run once only and may have run.
+        """Whether the call is in progress here, was answered, or may already have run and must not run twice.
 
-        One whose claims only others have can't be told from a new call.
+        A call whose claims are stored only at other members can't be distinguished from a new call.
         """
         mode = self._gate.modes.get(call.class_name, "off")
         if mode == "off":
@@ -56,5 +56,5 @@
         return bool(claims) and mode == "before"
 
     def requires_grant(self, class_name: str) -> bool:
-        """Whether the gate asks the replicas before a call of the class runs."""
+        """Whether the gate obtains grants from the replicas before a call of the class runs."""
         return self._gate.modes.get(class_name) == "before"
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -1,4 +1,4 @@
-"""`fawnwharf recovery show`: a member's status after a power loss, read from its zones' log."""
+"""`fawnwharf recovery show`: a member's recovery status, read from its zones log."""
 
 from typing import Annotated
 
@@ -14,29 +14,29 @@
 
 
 def read_status(address: tuple[str, int], within_s: float = 3.0) -> DisplayedStatus | None:
-    """A member's status, None where it reports nothing of recovery.
+    """Return a member's recovery status, or None if it reports none.
 
-    Raises OSError where its log can't be read, ValueError for what is no log.
+    Raises OSError if its log can't be read, and ValueError if the peer does not send a log.
     """
     line = read_latest_entries(address, (LOG_CLIENT,), within_s).get(LOG_CLIENT)
     return None if line is None else msgspec.convert(line[LOG_CLIENT], DisplayedStatus)
 
 
 def show(file: File, member: MemberOption = "") -> None:
-    """The recovery phase of a member, whom it heard of and queried, what it doubts and goes without."""
+    """Show a member's recovery phase, reachable voters, startup queries, missing state and doubts."""
     address = log_address(*read_files(file), member)
     try:
         status = read_status(address)
     except (OSError, ValueError) as error:
         fail(f"recovery: no answer: {error}", 1)
     if status is None:
-        fail("recovery: this member reports nothing of it; it needs `serve --recovery`", 1)
+        fail("recovery: this member reports no recovery status; it needs `serve --recovery`", 1)
     for line in status_lines(status):
         typer.echo(line)
 
 
 def status_lines(status: DisplayedStatus) -> list[str]:
-    """One line a fact, the phase first."""
+    """Format a status as lines of text, the phase first."""
     phase = status.phase or "PARTITIONED"
     lines = [f"{phase}  power loss {status.power_loss}  share {status.share:g}  by {status.source}"]
     if status.reason:
--- a/fawnwharf/recovery_service/copy_reports.py
+++ b/fawnwharf/recovery_service/copy_reports.py
@@ -1,4 +1,4 @@
-"""Reports of first copies: which are still to be sent to whom, and which received ones are new."""
+"""Reports of first copies: the reports that are due to be sent, and which received reports are new."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 
 
 class CopyReports:
-    """Owns the reports that are due, and the version of the last report about each function."""
+    """Collects reports that are due, and tracks the version of the last report about each function."""
 
     def __init__(self, incarnation: int) -> None:
         self._incarnation = incarnation
@@ -30,20 +30,20 @@
         self._versions: dict[str, _ReportVersion] = {}  # by function
 
     def add_for_all(self, function: str) -> None:
-        """Report a function to all members with the next tick."""
+        """Report a function to all members in the next tick."""
         self._for_all[function] = None
 
     def add_for(self, member: str, functions: Iterable[str]) -> None:
-        """Report functions to one member with the next tick."""
+        """Report functions to one member in the next tick."""
         self._for_member.setdefault(member, {}).update(dict.fromkeys(functions))
 
     def retain(self, reachable: frozenset[str]) -> None:
-        """Drop what is due to members that are not reachable."""
+        """Drop reports that are due to unreachable members."""
         for name in self._for_member.keys() - reachable:
             del self._for_member[name]
 
     def is_new(self, function: str, sender: str, report: CopyReport) -> bool:
-        """Whether a report is later than the last about this function; if so, it is the last from now on."""
+        """Whether a report is newer than the last one about this function; a newer one is recorded."""
         last = self._versions.get(function)
         if (
             last is not None
@@ -58,7 +58,7 @@
         return True
 
     def tick(self, placement: Callable[[str], CopyPlacement]) -> list[SendPermitMessage]:
-        """Take out what is due: a message for all and one for each member, with the placements of now."""
+        """Return the due reports with current placements: one message for all members and one for each."""
         messages = [self._report((), self._for_all, placement)] if self._for_all else []
         for name in list(self._for_member):
             functions = self._for_member[name]
@@ -71,7 +71,7 @@
     def _report(
         self, to: tuple[str, ...], functions: dict[str, None], placement: Callable[[str], CopyPlacement]
     ) -> SendPermitMessage:
-        """Take out the first functions, as many as one message holds."""
+        """Remove the first functions, up to one message's limit, and report them."""
         self._number += 1
         placements = []
         for function in list(functions)[:MAX_FUNCTIONS_PER_MESSAGE]:
--- a/fawnwharf/recovery_service/counters.py
+++ b/fawnwharf/recovery_service/counters.py
@@ -1,7 +1,7 @@
 """Counters of one front end for its status reports after a power loss.
 
-Calls that were served in time, loads against what they take in calm, warming scorers that failed. Pure;
-milliseconds of the own monotonic clock.
+They cover calls served in time, load times relative to normal operation, and scorers that failed while
+warming up. This module does no I/O; times are milliseconds of the local monotonic clock.
 """
 
 from collections import deque
@@ -13,12 +13,12 @@
 from fawnwharf.recovery_core.budget import priority_classes
 from fawnwharf.recovery_service.messages import CallCounts, StatusReport
 
-SPAN_MS = 1_000.0  # over which calls and loads are reported
-MAX_SAMPLES = 20_000  # of calls within it
-FAILURES_TO_FALL = 3  # consecutive broken connections at a warming scorer that had answered
+REPORT_WINDOW_MS = 1_000.0  # calls and loads of this time are reported
+MAX_SAMPLES = 20_000  # calls or loads within the window
+FAILED_SCORER_THRESHOLD = 3  # consecutive broken connections to a warming scorer that had answered before
 MAX_PAIRS = 20_000
 MAX_FUNCTIONS = 20_000
-CALM_WEIGHT = 0.05  # of a load, in the moving average of what loads take in calm
+NORMAL_LOAD_TIME_WEIGHT = 0.05  # of one load in the moving average of load times in normal operation
 MAX_SLOWDOWN = 1e6
 CONNECTION_FAILURES = (io.AttemptResult.RESET, io.AttemptResult.CONNECT_FAILED)
 
@@ -44,18 +44,18 @@
 
 @dataclass(slots=True)
 class FrontEndCounters:
-    """Owns the counters of one front end."""
+    """The counters of one front end."""
 
-    weights: Mapping[str, float]  # of classes
+    weights: Mapping[str, float]  # priority weights by class
     cold_ms: float
-    calm: bool = False  # loads take now what they take in calm
+    normal_operation: bool = False  # load times of now update `normal_load_ms`
     failed_scorers: int = 0
-    scorer_answered: bool = False  # some scorer did, in this incarnation
-    calm_load_ms: float | None = None  # what a load takes in calm, in this incarnation
+    scorer_answered: bool = False  # some scorer answered in this incarnation
+    normal_load_ms: float | None = None  # average load time in normal operation, in this incarnation
     _priority_classes: frozenset[str] = frozenset()
     _calls: deque[_CallSample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _loads: deque[_LoadSample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
-    _expected_load_ms: dict[str, float] = field(default_factory=dict)  # by function, as calls said
+    _expected_load_ms: dict[str, float] = field(default_factory=dict)  # by function, as stated by its calls
     _copies: dict[_Copy, None] = field(default_factory=dict)
     _failures: dict[int, int] = field(default_factory=dict)  # consecutive, of scorers that had answered
 
@@ -65,16 +65,16 @@
     # --- calls ----------------------------------------------------------------------------------
 
     def call_ended(self, now_ms: float, class_name: str, in_time: bool) -> None:
-        """Count a call by whether it was served in time; a rejected one was not."""
+        """Count a call as served in time or not; a rejected call was not."""
         self._calls.append(_CallSample(now_ms, class_name in self._priority_classes, in_time))
 
     # --- the decision module's events -----------------------------------------------------------
 
     def event(self, now_ms: float, event: io.Event, age_ms: float) -> None:
-        """Count an event; `age_ms` is for how long its scorer is up."""
+        """Count an event; `age_ms` is how long its scorer has been up."""
         if isinstance(event, io.RequestArrived):
             if event.load_ms and self._expected_load_ms.get(event.function) != event.load_ms:
-                _put_last(self._expected_load_ms, event.function, event.load_ms, MAX_FUNCTIONS)
+                _insert_newest(self._expected_load_ms, event.function, event.load_ms, MAX_FUNCTIONS)
         elif isinstance(event, io.AttemptEnded):
             self._count_result(event.scorer, event.result, age_ms)
         elif isinstance(event, io.LoadOrderAnswered):
@@ -82,43 +82,43 @@
             self._count_load(now_ms, event)
 
     def _count_result(self, scorer: int, result: io.AttemptResult, age_ms: float) -> None:
-        """Count a warming scorer as failed when consecutive calls there break, and it had answered before.
+        """Count a warming scorer as failed after several consecutive broken connections.
 
-        One that was never up did not fail.
+        Only a scorer that had answered before can fail; one that never came up is not counted.
         """
         if result is io.AttemptResult.GOOD:
             self.scorer_answered = True
             if self._failures.get(scorer, -1):
-                _put_last(self._failures, scorer, 0, MAX_PAIRS)
+                _insert_newest(self._failures, scorer, 0, MAX_PAIRS)
         elif result in CONNECTION_FAILURES and scorer in self._failures:
             self._failures[scorer] += 1
-            if self._failures[scorer] >= FAILURES_TO_FALL:
+            if self._failures[scorer] >= FAILED_SCORER_THRESHOLD:
                 del self._failures[scorer]
                 self.failed_scorers += age_ms < self.cold_ms
 
     def _count_load(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
-        """Count a load by its order's answer, the first one that says that there is a copy."""
+        """Count a load when an answer to its order first reports a copy."""
         copy = _Copy(event.scorer, event.function)
         if event.result is not io.AttemptResult.GOOD or not event.copies:
             self._copies.pop(copy, None)
             return
         if copy in self._copies:
             return
-        _put_last(self._copies, copy, None, MAX_PAIRS)
-        usual_ms = self._expected_load_ms.get(event.function, self.calm_load_ms)
+        _insert_newest(self._copies, copy, None, MAX_PAIRS)
+        usual_ms = self._expected_load_ms.get(event.function, self.normal_load_ms)
         if usual_ms:
             self._loads.append(_LoadSample(now_ms, event.took_ms / usual_ms))
-        if self.calm:
-            before_ms = event.took_ms if self.calm_load_ms is None else self.calm_load_ms
-            self.calm_load_ms = before_ms + CALM_WEIGHT * (event.took_ms - before_ms)
+        if self.normal_operation:
+            previous_ms = event.took_ms if self.normal_load_ms is None else self.normal_load_ms
+            self.normal_load_ms = previous_ms + NORMAL_LOAD_TIME_WEIGHT * (event.took_ms - previous_ms)
 
     # --- reports --------------------------------------------------------------------------------
 
     def report(self, now_ms: float) -> StatusReport:
-        """The status without what the agent adds: incarnation, queries, and whether all grants are known."""
-        while self._calls and now_ms - self._calls[0].at_ms > SPAN_MS:
+        """Return the counters as a report; the agent adds incarnation, queries and knowledge of grants."""
+        while self._calls and now_ms - self._calls[0].at_ms > REPORT_WINDOW_MS:
             self._calls.popleft()
-        while self._loads and now_ms - self._loads[0].at_ms > SPAN_MS:
+        while self._loads and now_ms - self._loads[0].at_ms > REPORT_WINDOW_MS:
             self._loads.popleft()
         priority = [call.in_time for call in self._calls if call.has_priority]
         slowdowns = [load.slowdown for load in self._loads]
@@ -134,8 +134,8 @@
         )
 
 
-def _put_last(held: dict[Key, Value], key: Key, value: Value, limit: int) -> None:
-    """Put an entry last; the first one is dropped where there are too many."""
+def _insert_newest(held: dict[Key, Value], key: Key, value: Value, limit: int) -> None:
+    """Insert an entry as the newest, and drop the oldest one if there are too many."""
     held.pop(key, None)
     held[key] = value
     if len(held) > limit:
--- a/fawnwharf/recovery_service/delegated_loads.py
+++ b/fawnwharf/recovery_service/delegated_loads.py
@@ -1,9 +1,9 @@
-"""Delegated load orders: a load coordinator's permit, used within another front end's rate limit.
+"""Delegated load orders: a load coordinator's permit, used within another front end's load rate limit.
 
-Pure; both sides. A coordinator whose decision module has no order left asks a front end that reported spare
-rate. The permit stays the coordinator's until it receives what became of the order, or a load's typical time
-is over. An order that arrives late is void, by the clock of the front end that reported the spare rate. So an
-order begins at most `DELEGATION_MS` after its coordinator was lost.
+This module does no I/O and holds both sides. A coordinator whose own rate limit is used up sends the order to
+a front end that reported spare rate. The coordinator keeps the permit in use until the result arrives or the
+typical load time is over. The delegate ignores an order that arrives too long after its report, by its own
+clock. So an order begins no later than `DELEGATION_MS` after its coordinator was lost.
 """
 
 from collections import Counter
@@ -16,19 +16,19 @@
 from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
 
-SPARE_REPORT_MS = 200.0  # least time between two reports of spare rate
-SPARE_REPORT_PER_MEMBER_MS = 4.0  # and so much for each reachable front end
-SPARE_FRESH_MS = 150.0  # a coordinator uses a report for so long
-SPARE_VALID_MS = 250.0  # a delegated order is accepted so long after the report, at most
-ORDER_MADE_MS = 100.0  # by then the decision module has made an order, or it makes none
+SPARE_REPORT_MS = 200.0  # least interval between two reports of spare rate
+SPARE_REPORT_PER_MEMBER_MS = 4.0  # least interval for each reachable front end, if that is longer in total
+SPARE_FRESH_MS = 150.0  # a coordinator uses a report for this long
+SPARE_VALID_MS = 250.0  # a delegate accepts an order for this long after its report
+ORDER_MADE_MS = 100.0  # the decision module makes an order within this time or not at all
 DELEGATION_MS = SPARE_VALID_MS + ORDER_MADE_MS
-ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer
-MAX_SPARE_ORDERS = 8  # reported at a time
+ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer has failed after this time
+MAX_SPARE_ORDERS = 8  # offered in one report, over all coordinators
 MAX_SPARE_REPORTS = 8  # own reports that are remembered
 
 
 class DelegationEvent(StrEnum):
-    """What is counted of delegated load orders."""
+    """Counted events of delegated load orders; the values name the counters."""
 
     LATE = "delegated load orders: late"
 
@@ -42,7 +42,7 @@
 
 
 class Delegate(NamedTuple):
-    """A front end that may be sent one order: its name and which of its reports says so."""
+    """A front end that accepts one order, and the report in which it offered that."""
 
     name: str
     incarnation: int
@@ -50,13 +50,13 @@
 
 
 class SpareRates:
-    """A coordinator's view of who could order for it."""
+    """A coordinator's view of the front ends that can make orders for it."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _ReportedSpareRate] = {}
 
     def receive(self, now_ms: float, sender: str, report: m.SpareRate) -> None:
-        """Take a report; one that is older than the last of the same incarnation changes nothing."""
+        """Record a report, unless it is older than the last one of the same incarnation."""
         known = self._reports.pop(sender, None)
         if known is not None and known.incarnation == report.incarnation and report.number <= known.number:
             self._reports[sender] = known
@@ -66,7 +66,7 @@
             )
 
     def take(self, now_ms: float) -> Delegate | None:
-        """Use one order of the front end that reported last; None where nobody has any."""
+        """Use up one spare order of the front end that reported last; None if there is none."""
         for name, report in reversed(self._reports.items()):
             if now_ms - report.received_ms <= SPARE_FRESH_MS and report.count > 0:
                 report.count -= 1
@@ -91,7 +91,7 @@
 
 
 class DelegatedLoadExecutor:
-    """A front end that orders for coordinators: its reports of spare rate, and their open orders."""
+    """Makes orders for coordinators: reports spare rate, and tracks the open delegated orders."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
@@ -105,10 +105,11 @@
     def report_spare_rate(
         self, now_ms: float, coordinators: Iterable[str], room: float, reachable: int
     ) -> list[SendPermitMessage]:
-        """Report how many orders this front end could make, an equal part to each coordinator.
+        """Offer the orders that this front end can make, divided equally among the coordinators.
 
-        `room` is the number of orders left here. It is infinite where there is no rate limit: then no
-        coordinator lacks orders either. `reachable` is the number of reachable front ends.
+        `room` is the number of orders left within the local load rate limit. It is infinite without a rate
+        limit, in which case no coordinator needs a delegate. `reachable` is the number of reachable front
+        ends.
         """
         if room == float("inf"):
             return []
@@ -127,11 +128,11 @@
     def accept(
         self, now_ms: float, sender: str, order: m.DelegatedLoadOrder, *, loads_allowed: bool
     ) -> list[Action]:
-        """Take a coordinator's order, to be made here."""
+        """Accept a coordinator's order, or answer that it was not made."""
         reported_ms = self._report_times.get(order.number, float("-inf"))
         if order.incarnation != self.incarnation or now_ms - reported_ms > SPARE_VALID_MS:
             self.counts[DelegationEvent.LATE] += 1
-            return []  # the coordinator does not count on it after a load's typical time
+            return []  # the coordinator gives up on it after the typical load time
         placement = _Placement(order.scorer, order.function)
         if not loads_allowed or placement in self._open:
             return [self._report(sender, placement, m.DelegatedLoadResult.NOT_MADE)]
@@ -146,11 +147,11 @@
         return SendPermitMessage((to,), report)
 
     def is_own(self, scorer: int, function: str) -> bool:
-        """Whether an order there is a delegated one."""
+        """Whether an order for this function at this scorer is a delegated one."""
         return (scorer, function) in self._open
 
     def ordered(self, scorer: int, function: str) -> None:
-        """Note that the decision module made the order; the next tick reports it."""
+        """Record that the decision module made the order; the next tick reports it."""
         placement = _Placement(scorer, function)
         order = self._open.get(placement)
         if order is not None and not order.made:
@@ -158,7 +159,7 @@
             self._outbox.append(self._report(order.coordinator, placement, m.DelegatedLoadResult.MADE))
 
     def answered(self, event: io.LoadOrderAnswered, *, counts_copies: bool) -> list[SendPermitMessage]:
-        """Take a scorer's answer; `counts_copies` is whether it says how many copies the scorer has."""
+        """Handle a scorer's answer; `counts_copies` tells whether it states the scorer's number of copies."""
         placement = _Placement(event.scorer, event.function)
         order = self._open.get(placement)
         if order is None:
@@ -167,12 +168,12 @@
             del self._open[placement]
             return [self._report(order.coordinator, placement, m.DelegatedLoadResult.LOADED)]
         if not order.made or event.result is io.AttemptResult.GOOD:
-            return []  # that answers a query
+            return []  # this answers a query, not the order
         del self._open[placement]
         return [self._report(order.coordinator, placement, m.DelegatedLoadResult.FAILED)]
 
     def tick(self, now_ms: float) -> list[SendPermitMessage]:
-        """Report orders that were made, and those that were not made or not answered in time."""
+        """Report orders that were made, not made in time, or not answered in time."""
         messages, self._outbox = self._outbox, []
         for placement, order in list(self._open.items()):
             limit_ms = ORDER_TIMEOUT_MS if order.made else ORDER_MADE_MS
--- a/fawnwharf/recovery_service/folder_positions.py
+++ b/fawnwharf/recovery_service/folder_positions.py
@@ -1,6 +1,7 @@
-"""Positions of members' store folders, as each reported them: whoever starts again learns of its latest one.
+"""Positions of the members' store folders, as reported by them.
 
-Its folder may be an older copy by then. Pure.
+A member that restarts is reminded of its latest position, as its folder may have been replaced by an older
+copy. This module does no I/O.
 """
 
 from collections.abc import Collection
@@ -9,13 +10,13 @@
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_service.messages import BootReport
 
-MAX_REMINDERS = 3  # of one incarnation
-MAX_DISKS = 2  # of one member
+MAX_REMINDERS = 3  # sent to one incarnation for one disk
+MAX_DISKS = 2  # remembered for one member
 
 
 @dataclass(slots=True)
 class _DiskPositions:
-    """One folder's last position in this incarnation of its member, and the latest before that."""
+    """The last position of one folder in its member's incarnation, and the latest of earlier incarnations."""
 
     incarnation: int
     last: FolderPosition
@@ -24,7 +25,7 @@
 
 
 class FolderPositions:
-    """Owns the positions that were reported, by member and disk."""
+    """The reported positions, by member and disk."""
 
     def __init__(self) -> None:
         self._positions: dict[str, dict[str, _DiskPositions]] = {}
@@ -34,13 +35,11 @@
         self._positions = {name: disks for name, disks in self._positions.items() if name in members}
 
     def receive(self, sender: str, report: BootReport) -> FolderPosition | None:
-        """Take a position; return an earlier incarnation's latest one where the sender is to be reminded."""
+        """Record a position; return the latest of earlier incarnations if the sender is to be reminded."""
         position = report.position
         disks = self._positions.setdefault(sender, {})
-        if (
-            not position.disk_id or not position.incarnation
-        ):  # there is no store, or it is still rewriting its entries
-            return None
+        if not position.disk_id or not position.incarnation:
+            return None  # the member has no store, or its store is still rewriting its entries
         known = disks.get(position.disk_id)
         if known is None:
             while len(disks) >= MAX_DISKS:
@@ -57,7 +56,7 @@
         return known.earlier
 
     def reminded(self, sender: str, report: BootReport) -> None:
-        """Note that the sender was reminded."""
+        """Record that the sender was reminded."""
         self._positions[sender][report.position.disk_id].reminders += 1
 
 
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -1,7 +1,7 @@
-"""Permits, admission and load orders joined to a running front end's logs, decision module and request table.
+"""Connects permits, admission and load orders to a running front end's logs, decision module and requests.
 
-Thin: what is issued is decided in `permit_issuing.py`, which calls are admitted in `recovery_admission.py`,
-what the decision module may order in `load_order_gate.py`.
+This layer makes no decisions: `permit_issuing.py` issues permits, `recovery_admission.py` admits calls, and
+`load_order_gate.py` filters the load orders of the decision module.
 """
 
 from collections.abc import Callable, Mapping
@@ -27,22 +27,22 @@
 from fawnwharf.replication.service import ReplicationService
 
 LOG_CLIENT = "recovery-given"  # of the replication logs
-CALM_TICK_MS = 250.0  # in calm there is little to send, and that to others that are not calm yet
-USAGE_RESEND_MS = 5_000.0  # interval of requesting what was used before the power loss, as requests expire
+NORMAL_TICK_MS = 250.0  # in normal operation the only receivers are front ends that still recover
+USAGE_RESEND_MS = 5_000.0  # requests for functions used before the power loss expire and are sent again
 MAX_HASH_ORDERS = 4_096  # functions whose hash order is cached
 
 
 class AppliedPhase(NamedTuple):
-    """What this front end goes by."""
+    """The phase permissions that this front end applies."""
 
     allowed: AllowedActions
     power_loss: int
-    front_ends: int  # among which the fleet's calls are divided; partitioned, those that reach each other
+    front_ends: int  # how many share the fleet's call rate; while partitioned, those that reach each other
     assignment: PermitAssignment | None = None
 
 
 class FrontEndIntegration:
-    """Owns the ticks of permit issuing, and passes on messages, load orders and permits."""
+    """Runs the ticks of permit issuing, and passes on messages, load orders and permits."""
 
     order_gate: LoadOrderGate
     _send_order: Callable[[Any], object]
@@ -50,7 +50,7 @@
     def __init__(
         self, front: FrontEnd, state: ReplicationService, settings: Settings, incarnation: int
     ) -> None:
-        """Stand between the front end's parts; nothing is admitted before `apply`."""
+        """Insert admission and the load order gate into the front end; nothing is admitted before `apply`."""
         self.front = front
         self.state = state
         self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
@@ -83,14 +83,14 @@
         self._tick()
 
     def close(self) -> None:
-        """Stop issuing and requesting; calls that wait are rejected unless it is calm."""
+        """Stop issuing and requesting permits; waiting calls are rejected, except in normal operation."""
         self._stopped = True
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
         self.front.intercept(io.OrderCopies, lambda _own: self._send_order)
         if not self._applied.allowed.spill:
-            self.admission.apply(AllowedActions(), 0.0, self.issuer)  # clients may retry elsewhere
+            self.admission.apply(AllowedActions(), 0.0, self.issuer)  # clients may retry at another front end
 
     def _insert_gate(self, send_order: Callable[[Any], object]) -> Callable[[Any], object]:
         front = self.front
@@ -103,14 +103,14 @@
     # --- what is allowed ------------------------------------------------------------------------
 
     def apply(self, applied: AppliedPhase) -> None:
-        """Go by a phase from now on."""
+        """Apply the permissions of a phase."""
         self._applied = applied
         self._update(monotonic_ms())
 
     def request_earlier_use(self, use: Mapping[FunctionUse, float]) -> None:
-        """Request copies of what was called before the power loss, once loads are allowed.
+        """Request copies of the functions called before the power loss, once loads are allowed.
 
-        `use` is calls a second by function and class.
+        `use` has the calls per second by function and class.
         """
         self._earlier_use = use
 
@@ -140,7 +140,7 @@
     # --- scorers --------------------------------------------------------------------------------
 
     def update_roster(self) -> None:
-        """Take the roster as it is now."""
+        """Pass scorers that appeared in or left the roster on to the permit issuer."""
         now_ms = monotonic_ms()
         scorers_up_ms = {
             scorer_number(member.id): member.up_since_ms or None
@@ -154,16 +154,16 @@
             self.issuer.scorer_seen(now_ms, scorer, self.age_ms(scorer))
 
     def age_ms(self, scorer: int) -> float:
-        """For how long a scorer is up; one that is not known counts as warm, and needs no permits."""
+        """How long a scorer has been up, in milliseconds; an unknown one counts as warm."""
         up_ms = self._scorers_up_ms.get(scorer)
         return float("inf") if up_ms is None else max(0.0, self.front.loop.clock.now_ms() - up_ms)
 
     def scorer_ages_ms(self) -> list[float]:
-        """For how long each scorer is up."""
+        """How long each scorer has been up, in milliseconds."""
         return [self.age_ms(scorer) for scorer in self._scorers_up_ms]
 
     def _hash_order(self, function: str) -> list[int]:
-        """A function's scorers that take calls, as the decision module orders them."""
+        """A function's scorers that accept calls, in the decision module's hash order."""
         cached = self._functions.get(function)
         if cached is None:
             while len(self._functions) >= MAX_HASH_ORDERS:
@@ -173,7 +173,7 @@
         return [scorer.id for scorer in order if scorer.suspect_ms is None]
 
     def _orders_left(self) -> float:
-        """Orders that the decision module would make by `PrefetchRequested`; waiting calls come first."""
+        """How many `PrefetchRequested` orders fit into the load rate limit, after those for waiting calls."""
         router = self.front.router
         waiting = sum(len(function.queue) for function in router.functions.values())
         return router._load_rate_left() - waiting if router.settings.load_orders_allowed else 0.0
@@ -186,7 +186,7 @@
         now_ms = monotonic_ms()
         self._update(now_ms)
         self._carry_out(self.issuer.tick(now_ms))
-        interval_ms = CALM_TICK_MS if self._applied.allowed.spill else TICK_MS
+        interval_ms = NORMAL_TICK_MS if self._applied.allowed.spill else TICK_MS
         self._timer = self.front.loop.timers.after(interval_ms, self._tick)
 
     def _receive(self, now_ms: float, sender: str, _incarnation: int, data: Any) -> None:
@@ -198,7 +198,7 @@
         self._carry_out(self.issuer.receive(now_ms, sender, message))
 
     def events(self, now_ms: float, events: list[io.Event]) -> None:
-        """Take a batch of the decision module's events."""
+        """Handle a batch of the decision module's events."""
         self._carry_out(self.order_gate.events(now_ms, events))
 
     def _carry_out(self, actions: list[Action]) -> None:
--- a/fawnwharf/recovery_service/hints.py
+++ b/fawnwharf/recovery_service/hints.py
@@ -1,8 +1,8 @@
-"""Hints for the next start: where scorers were and which functions were called. Nothing depends on them.
+"""Hints for the next start: the last roster and which functions were called. Correctness needs neither.
 
-Pure. A recorder takes what happens, and hands out an entry's value when one is due. Until a start has reached
-calm, `due` is not to be called: what is served meanwhile says little, and would replace what was served
-before the power loss.
+This module does no I/O. A recorder collects observations and returns an entry's value when one is due. Call
+`due` only once normal operation is reached: what is served during a recovery is not typical, and it would
+replace what was served before the power loss.
 """
 
 from collections import Counter, deque
@@ -16,15 +16,15 @@
 from fawnwharf.recovery_core.trust import TrustLevel
 from fawnwharf.recovery_service.stored_state import TrustedEntry
 
-ENTRY_KEY = "last"  # of the one entry of each kind
-ROSTER_MS = 2_000.0  # least time between two entries
+ENTRY_KEY = "last"  # key of the only entry of each kind
+ROSTER_MS = 2_000.0  # least interval between two roster entries
 MAX_SCORERS = 5_000
 WINDOW_MS = 2_000.0
 WINDOWS = 5
 MAX_FUNCTIONS = 2_000
-MAX_COUNTED = 4 * MAX_FUNCTIONS  # of one window; further ones are left out
+MAX_COUNTED = 4 * MAX_FUNCTIONS  # functions and classes counted in one window; further ones are ignored
 
-FunctionUse = tuple[str, str]  # a function and a class; a plain tuple, as one is made for each call
+FunctionUse = tuple[str, str]  # function and class; a plain tuple is cheap to create for each call
 Hint = TypeVar("Hint")
 
 
@@ -44,7 +44,7 @@
 
 
 class RosterRecorder:
-    """Owns the last roster, and whether it is stored."""
+    """Tracks the last roster and the last one that was handed out to be stored."""
 
     def __init__(self) -> None:
         self._roster: list[_StoredScorer] | None = None
@@ -57,7 +57,7 @@
         return bool(self._stored)
 
     def update(self, fleet: Fleet) -> None:
-        """Take the roster as it is now; one that is not complete yet says nothing."""
+        """Record the current roster; an incomplete one is ignored."""
         if not fleet.complete:
             return
         served = [member for member in fleet.members if member.phase == "in_service" and member.host_port]
@@ -80,7 +80,7 @@
 
 
 def stored_roster(entries: Sequence[TrustedEntry]) -> list[Member]:
-    """The scorers of the last roster, by their ids then; none where nothing usable was stored."""
+    """The scorers of the stored roster, with their ids of that time; empty if nothing usable was stored."""
     return [
         Member(
             scorer.id,
@@ -96,7 +96,7 @@
 
 
 class UsageRecorder:
-    """Owns the counts of calls of the last windows, by function and class."""
+    """Counts the calls of the last windows by function and class."""
 
     def __init__(self, now_ms: float) -> None:
         self._open: Counter[FunctionUse] = Counter()
@@ -111,7 +111,7 @@
             self._open[function, class_name] += count
 
     def _close_windows(self, now_ms: float) -> None:
-        """Close windows that are over; of those in which nothing arrived no more than there are windows."""
+        """Close the windows that have ended, at most `WINDOWS` at a time even after a long idle period."""
         for _ in range(WINDOWS):
             if now_ms < self._until_ms:
                 return
@@ -123,9 +123,9 @@
             self._until_ms = now_ms + WINDOW_MS
 
     def due(self, now_ms: float) -> list[Any] | None:
-        """Calls a second by function and class, once in `WINDOWS` windows, where any arrived.
+        """Return calls per second by function and class to store, once in `WINDOWS` windows.
 
-        The `MAX_FUNCTIONS` with most calls. None: nothing is to be stored.
+        Includes the `MAX_FUNCTIONS` pairs with the most calls. None if nothing is to be stored.
         """
         self._close_windows(now_ms)
         if self._windows_since_due < WINDOWS:
@@ -140,7 +140,7 @@
 
 
 def stored_usage(entries: Sequence[TrustedEntry]) -> dict[FunctionUse, float]:
-    """Calls a second by function and class; empty where nothing usable was stored."""
+    """Calls per second by function and class; empty if nothing usable was stored."""
     return {
         (usage.function, usage.class_name): usage.rps
         for usage in _decode(entries, _StoredUsage, MAX_FUNCTIONS)
@@ -148,7 +148,7 @@
 
 
 def _decode(entries: Sequence[TrustedEntry], kind: type[Hint], limit: int) -> list[Hint]:
-    """The last entry's value, where it may be used."""
+    """Decode the value of the only entry; empty if it may not be used or is malformed."""
     for key, value, trust in entries:
         if key == ENTRY_KEY and trust >= TrustLevel.HINT:
             try:
--- a/fawnwharf/recovery_service/load_coordination.py
+++ b/fawnwharf/recovery_service/load_coordination.py
@@ -1,7 +1,8 @@
-"""One load coordinator's work: requested functions, its open load orders, and when a copy is expected.
+"""Load coordination on one coordinator: requested functions, open load orders, and expected copy times.
 
-Pure. Orders go through the decision module (`PrefetchRequested`), within its rate limit or not at all. So an
-order that is not made is requested again, after its scorer was asked whether another's order made a copy.
+This module does no I/O. Orders go through the decision module (`PrefetchRequested`), which makes them only
+within its load rate limit. If an order is not made, the coordinator asks the scorer whether another order
+created a copy, and then requests the load again.
 """
 
 from bisect import bisect_right
@@ -23,24 +24,25 @@
     LoadRequest,
 )
 
-ORDER_MS = 100.0  # by then the decision module has made an order, or it makes none
-UNMADE_MS = 1_000.0  # an order that was not made, and to whose query the scorer answers nothing for so long
-ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer for so long has failed
-RETRY_MS = 500.0  # after an order that failed
-UNMADE_RETRY_MS = 250.0  # after an order that the decision module did not make
+ORDER_MS = 100.0  # the decision module makes an order within this time or not at all
+UNMADE_MS = 1_000.0  # timeout of the query to the scorer of an order that was not made
+ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer has failed after this time
+RETRY_MS = 500.0  # delay after an order that failed
+UNMADE_RETRY_MS = 250.0  # delay after an order that the decision module did not make
 SORT_MS = 250.0  # interval of sorting the requests by weight
-MIN_ETA_MS = 50.0  # no copy is expected earlier
+MIN_ETA_MS = 50.0  # least time in which a copy is expected
 MAX_FUNCTIONS = 20_000
 
+# Results of a load order with which the scorer also states its number of copies.
 COUNTING_RESULTS = (
     io.AttemptResult.GOOD,
     io.AttemptResult.FULL,
     io.AttemptResult.ERROR,
-)  # an order's answer that counts copies
+)
 
 
 class LoadEvent(StrEnum):
-    """What is counted of load orders."""
+    """Counted events of load orders; the values name the counters."""
 
     TOO_MANY_FUNCTIONS = "functions beyond the limit"
     DELEGATED = "load orders delegated"
@@ -54,18 +56,18 @@
     class_name: str
     lanes: int
     load_ms: float | None
-    weight_ps: float = 0.0  # the largest that was requested
+    weight_ps: float = 0.0  # the largest requested weight, per second
     failed_until_ms: dict[int, float] = field(default_factory=dict)  # by scorer
 
 
 @dataclass(slots=True)
 class _OpenLoadOrder:
     scorer: int
-    since_ms: float  # when the decision module received it; once it was sent, when that was
+    since_ms: float  # when it was passed to the decision module or, once it was sent, when it was sent
     sent: bool = False
-    queried_ms: float | None = None  # the scorer, as the decision module made no order
-    delegate: str = ""  # who makes it; it counts as sent then
-    made: bool = False  # by the delegate
+    queried_ms: float | None = None  # when the scorer was queried because the order was not made
+    delegate: str = ""  # the front end that makes the order; such an order counts as sent
+    made: bool = False  # the delegate has made the order
 
 
 class _Deferred(NamedTuple):
@@ -75,15 +77,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEnvironment:
-    """What load coordination asks of its front end."""
+    """Functions of the front end that load coordination calls."""
 
-    hash_order: Callable[[str], Sequence[int]]  # a function's scorers that take calls, by its hash order
+    hash_order: Callable[[str], Sequence[int]]  # a function's scorers that accept calls, in its hash order
     has_copy: Callable[[str], bool]  # whether a copy of a function is known
-    orders_left: Callable[[], float]  # orders that the decision module may still make
+    orders_left: Callable[[], float]  # the number of orders that the decision module may still make
 
 
 class LoadCoordination:
-    """Owns the load requests to this coordinator, and its load orders."""
+    """Queues the load requests to this coordinator and tracks its load orders."""
 
     def __init__(self, member: str, permits: LoadPermits, environment: LoadEnvironment) -> None:
         self.member = member
@@ -93,14 +95,14 @@
         self.counts = Counter[LoadEvent]()
         self.open_orders: dict[str, _OpenLoadOrder] = {}
         self._environment = environment
-        self._orders_left = 0.0  # as of the last call of `orders`
+        self._orders_left = 0.0  # at the last call of `orders`
         self._functions: dict[str, _FunctionLoad] = {}
         self._deferred: dict[str, _Deferred] = {}
         self._sorted_ms = float("-inf")
         self._sorted_weights: list[float] = []
 
     def reset(self) -> None:
-        """Forget the requests, as each front end orders what it needs."""
+        """Forget the requests, because each front end now orders what it needs."""
         self._deferred.clear()
         self.queue.requests = {}
         self.queue.queue = []
@@ -109,7 +111,7 @@
     # --- requests ---------------------------------------------------------------------------------
 
     def request(self, now_ms: float, request: LoadRequest) -> None:
-        """Take a request for a copy."""
+        """Queue a request for a copy."""
         function = request.function
         if function in self.open_orders:
             return
@@ -121,15 +123,15 @@
             load = _FunctionLoad(request.class_name, request.lanes, request.load_ms)
             self._functions[function] = load
         load.weight_ps = max(load.weight_ps, request.weight_ps)
-        self.queue.remove(function)  # the request says that there is no copy
+        self.queue.remove(function)  # the request implies that there is no copy
         self._enqueue(now_ms, function, request.weight_ps)
 
     def knows(self, function: str) -> bool:
-        """Whether the function was requested."""
+        """Whether the function was ever requested."""
         return function in self._functions
 
     def _enqueue(self, now_ms: float, function: str, weight_ps: float, not_before_ms: float = 0.0) -> None:
-        """Order it when that is allowed; the largest weight and the latest time of its requests hold."""
+        """Queue a function for when it may be ordered; uses the largest weight and latest time requested."""
         due_ms = max(not_before_ms, self.permits.due_ms(now_ms, function))
         deferred = self._deferred.get(function)
         if deferred is not None:
@@ -142,7 +144,7 @@
             self.queue.request(function, weight_ps)
 
     def eta_ms(self, now_ms: float, function: str) -> float:
-        """In how many milliseconds a copy is expected, as `LoadCoordinator.eta_ms` but for many functions."""
+        """The milliseconds until a copy is expected; a faster `LoadCoordinator.eta_ms` for many functions."""
         fetch_ms = self.queue.fetch_ms
         order = self.open_orders.get(function)
         if order is not None:
@@ -162,13 +164,13 @@
     # --- orders -----------------------------------------------------------------------------------
 
     def orders(self, now_ms: float) -> list[LoadOrder | SendPermitMessage]:
-        """Begin as many orders as there are free permits."""
+        """Start as many orders as there are free permits."""
         actions: list[LoadOrder | SendPermitMessage] = []
         for function, deferred in list(self._deferred.items()):
             if deferred.due_ms <= now_ms:
                 self._enqueue(now_ms, function, deferred.weight_ps)
         self.queue.max_concurrent = self.permits.ready(now_ms)
-        # Only where it is needed: it looks through all functions.
+        # Counted only if there are requests, as it iterates over all functions.
         self._orders_left = self._environment.orders_left() if self.queue.requests else 0.0
         while self.queue.max_concurrent and (functions := self.queue.next_orders(now_ms)):
             for function in functions:
@@ -179,7 +181,7 @@
 
     def _begin(self, now_ms: float, function: str) -> LoadOrder | SendPermitMessage | None:
         if self.permits.coordinator(function) != self.member or self._environment.has_copy(function):
-            return None  # it is another coordinator's by now, or a copy was reported
+            return None  # another coordinator is now responsible, or a copy was reported
         load = self._functions[function]
         if (due_ms := self.permits.due_ms(now_ms, function)) > now_ms:
             self._deferred[function] = _Deferred(due_ms, load.weight_ps)
@@ -195,7 +197,7 @@
         return LoadOrder(io.PrefetchRequested(scorer, function, load.class_name, 1, load.lanes, load.load_ms))
 
     def _choose_scorer(self, now_ms: float, function: str, load: _FunctionLoad) -> int | None:
-        """The first scorer by hash order at which no load failed lately."""
+        """The first scorer in hash order at which no load failed recently."""
         load.failed_until_ms = {
             scorer: until_ms for scorer, until_ms in load.failed_until_ms.items() if until_ms > now_ms
         }
@@ -205,7 +207,7 @@
     def _delegate(
         self, now_ms: float, function: str, load: _FunctionLoad, scorer: int
     ) -> SendPermitMessage | None:
-        """Have another front end make the order, where the own decision module has none left."""
+        """Send the order to another front end if the local decision module has no order left."""
         unmade = sum(not order.sent for order in self.open_orders.values())
         if self._orders_left - unmade >= 1.0:
             return None
@@ -226,21 +228,21 @@
         return SendPermitMessage((delegate.name,), order)
 
     def ordered(self, now_ms: float, scorer: int, function: str) -> None:
-        """Take that the decision module made the order: its load is in progress."""
+        """Record that the decision module made the order, so the load is in progress."""
         order = self.open_orders.get(function)
         if order is not None and order.scorer == scorer and not order.sent:
             order.sent = True
             order.since_ms = now_ms
 
     def is_own(self, scorer: int, function: str) -> bool:
-        """Whether an order there is one of this coordinator."""
+        """Whether an order for this function at this scorer was made by this coordinator."""
         order = self.open_orders.get(function)
         return order is not None and order.scorer == scorer
 
     # --- results ----------------------------------------------------------------------------------
 
     def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> bool:
-        """Take a scorer's answer to any order or query; return whether it has a copy ordered here."""
+        """Handle a scorer's answer to an order or query; return whether a copy ordered here now exists."""
         function = event.function
         order = self.open_orders.get(function)
         if order is None or order.scorer != event.scorer:
@@ -249,16 +251,16 @@
             self._loaded(now_ms, function, now_ms - order.since_ms if order.sent else self.queue.fetch_ms)
             return True
         if order.delegate:
-            return False  # the delegate reports
-        # There is no copy: that answers a query, maybe an earlier one of the decision module. It ends neither
-        # an order that was sent nor one that the decision module is yet to make.
+            return False  # the delegate reports the result
+        # A good answer without copies answers a query, maybe an earlier one of the decision module. It does
+        # not end an order that was sent, nor one that the decision module may still make.
         counted = event.result is io.AttemptResult.GOOD
         if order.sent != counted and (order.sent or order.queried_ms is not None):
             self._failed(now_ms, function, order, scorer_failed=order.sent)
         return False
 
     def receive_report(self, now_ms: float, sender: str, report: DelegatedLoadReport) -> bool:
-        """Take what became of a delegated order; return whether a copy exists by it."""
+        """Handle the result of a delegated order; return whether the order created a copy."""
         function = report.function
         order = self.open_orders.get(function)
         result = DelegatedLoadResult(report.result)
@@ -281,10 +283,10 @@
         self._pause(now_ms, took_ms)
 
     def _failed(self, now_ms: float, function: str, order: _OpenLoadOrder, *, scorer_failed: bool) -> None:
-        """Request it again.
+        """Request the load again after an order failed or was not made.
 
-        One that was sent goes to the end of the queue, and one whose scorer failed goes elsewhere for a
-        while. One that was never made keeps its place.
+        An order that was sent goes to the end of the queue. If its scorer failed, that scorer is avoided for
+        a while. An order that was never made keeps its weight.
         """
         del self.open_orders[function]
         self.queue.in_progress.discard(function)
@@ -299,20 +301,20 @@
         self._enqueue(now_ms, function, load.weight_ps, now_ms + retry_ms)
 
     def _pause(self, now_ms: float, took_ms: float) -> None:
-        """Where the budget is a fraction of one fetch, load for that fraction of the time."""
+        """If the budget is a fraction of one fetch, pause so that loads take that fraction of the time."""
         if self.permits.fetch_fraction < 1.0:
             self.queue.begins_ms = now_ms + took_ms * (1.0 / self.permits.fetch_fraction - 1.0)
 
     def overdue(self, now_ms: float) -> list[LoadOrder]:
-        """Close orders without a result in time, and query the scorers of those that were not made.
+        """Fail orders without a timely result, and query the scorers of orders that were not made.
 
-        The decision module makes no order where it has none to spare, or takes it that there is a copy.
+        The decision module makes no order if its rate limit is used up or if it assumes that a copy exists.
         """
         queries: list[LoadOrder] = []
         for function, order in list(self.open_orders.items()):
             waited_ms = now_ms - order.since_ms
             if order.delegate and not order.made and waited_ms >= self.permits.typical_load_ms:
-                order.sent = False  # it was void, or its report was lost
+                order.sent = False  # the delegate ignored it as late, or the delegate's report was lost
                 self._failed(now_ms, function, order, scorer_failed=False)
             elif order.sent and waited_ms >= ORDER_TIMEOUT_MS:
                 self._failed(now_ms, function, order, scorer_failed=True)
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -1,14 +1,15 @@
-"""Load orders of the decision module after a power loss: stands between the module and the request table.
-
-The decision module orders what waiting calls need and renews what was used. Before the phase that allows it,
-such an order is not sent: the module receives that it was not sent, which changes nothing of its state, and
-it leaves that scorer alone for a second. The scorer of a coordinator's copy is queried instead, so that the
-module learns of the copy. What a coordinator wanted of the module is sent. In calm an order costs one test
-more.
-
-The module tries one scorer after the other for calls that wait for a lane, and receives each rejection at
-once: with a thousand scorers that alone would take all its time. So after some the next one is left open for
-the rest of the second, as an order that takes long; it counts among the module's concurrent loads meanwhile.
+"""Gate between the decision module and the request table for load orders after a power loss.
+
+The decision module orders loads for waiting calls and refreshes copies that were used. Until the recovery
+phase allows such orders, the gate does not send them and answers NOT_SENT. That leaves the module's state
+unchanged, and the module does not try the scorer again for a second. If a coordinator's copy is known, the
+gate queries its scorer, so that the module learns of the copy. Orders that a coordinator requested from the
+module are sent. In normal operation the gate costs one extra condition for each order.
+
+For calls that wait for a lane, the module tries one scorer after the other. If each order were rejected at
+once, then with a thousand scorers the module would spend all its time on rejections. So after the first few
+rejections in a second, the answer to the next order is delayed until that second ends. Meanwhile the module
+counts it among its concurrent loads.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,15 +25,15 @@
 from fawnwharf.recovery_service.actions import Action
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 
-QUERY_INTERVAL_MS = 1_000.0  # a function's scorer is queried no sooner again
+QUERY_INTERVAL_MS = 1_000.0  # least interval between two queries about one function
 MAX_QUERIED_FUNCTIONS = 4_096
-MAX_IMMEDIATE_REJECTIONS = 4  # orders for a function that are answered at once
-WINDOW_MS = 1_000.0  # within so long
+MAX_IMMEDIATE_REJECTIONS = 4  # orders for a function that are rejected without delay in one window
+WINDOW_MS = 1_000.0
 
 
 @dataclass(slots=True)
 class _Rejections:
-    """The orders for one function that were rejected in a window."""
+    """Counts the rejected orders for one function in one window."""
 
     since_ms: float
     count: int = 0
@@ -44,7 +45,7 @@
 
 
 class LoadOrderGate:
-    """Owns what becomes of the decision module's load orders, by what is allowed."""
+    """Sends or rejects the decision module's load orders by the current permissions."""
 
     def __init__(
         self,
@@ -54,13 +55,13 @@
         requests: Mapping[str, OpenRequest],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        """`query` sends a query to a scorer; `requests` are the table's open requests, by key."""
+        """`query` sends a query to a scorer; `requests` has the table's open requests by key."""
         self._send_order = send_order
         self._query = query
         self._notify_module = notify_module
         self._requests = requests
         self._clock = clock
-        self.calm = False  # all orders are sent
+        self.normal_operation = False  # True: all orders are sent
         self.own_loads = False
         self.issuer: PermitIssuer | None = None
         self.rejected = 0
@@ -69,12 +70,12 @@
         self._delayed: list[_DelayedAnswer] = []
 
     def apply(self, allowed: AllowedActions, issuer: PermitIssuer | None) -> None:
-        """Go by what is allowed now; to be called at each change."""
-        self.calm = allowed.spill or issuer is None
+        """Apply the current permissions; call this at each change."""
+        self.normal_operation = allowed.spill or issuer is None
         self.issuer = issuer
         self.own_loads = allowed.own_loads
-        self._release(float("inf") if self.calm or self.own_loads else self._clock())
-        if self.calm:
+        self._release(float("inf") if self.normal_operation or self.own_loads else self._clock())
+        if self.normal_operation:
             self._queried_ms.clear()
             self._rejections.clear()
 
@@ -87,8 +88,8 @@
                 self._delayed.append(answer)
 
     def carry(self, action: io.OrderCopies) -> None:
-        """Send an order of the decision module or reject it, in the place of `RequestTable.order`."""
-        if self.calm or self.issuer is None or not action.copies:
+        """Send or reject an order of the decision module; replaces `RequestTable.order`."""
+        if self.normal_operation or self.issuer is None or not action.copies:
             self._send_order(action)
         elif self.issuer.is_own(action.scorer, action.function):
             self.issuer.ordered(self._clock(), action.scorer, action.function)
@@ -135,7 +136,7 @@
         self._notify_module(io.LoadOrderAnswered(query.scorer, function, ending, copies, took_ms))
 
     def events(self, now_ms: float, events: list[io.Event]) -> list[Action]:
-        """Take what a batch says of copies: answers to orders, and calls that found no copy."""
+        """Pass on what a batch of events tells about copies: answers to orders, and calls without a copy."""
         self._release(now_ms)
         if self.issuer is None:
             return []
--- a/fawnwharf/recovery_service/local_load_requests.py
+++ b/fawnwharf/recovery_service/local_load_requests.py
@@ -1,12 +1,12 @@
-"""Functions that calls at this front end need, as they are requested from their load coordinators."""
+"""Load requests for the functions that calls at this front end need, sent to their load coordinators."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from fawnwharf.recovery_service.permit_messages import MAX_FUNCTIONS_PER_MESSAGE, LoadRequest
 
-RESEND_MS = 1_000.0  # a request of which nothing came is sent again
-FORGET_MS = 10_000.0  # no call here has needed the function for so long
+RESEND_MS = 1_000.0  # a request without a result is sent again after this time
+FORGET_MS = 10_000.0  # a request is dropped when no local call has needed the function for this time
 MAX_LOAD_REQUESTS = 4_096
 
 
@@ -16,14 +16,14 @@
     lanes: int
     load_ms: float | None
     weight_ps: float
-    needed_ms: float  # the last time
+    needed_ms: float  # when a call last needed the function
     sent_ms: float = float("-inf")
-    coordinator: str = ""  # to which it was sent
-    due_ms: float | None = None  # a copy is expected then, by its coordinator
+    coordinator: str = ""  # the member to which it was sent
+    due_ms: float | None = None  # when the coordinator expects a copy
 
 
 class LocalLoadRequests:
-    """Owns the requests, by function, and the scorers where a reported copy was not found."""
+    """The load requests by function, and the scorers where a reported copy was not found."""
 
     def __init__(self) -> None:
         self._requests: dict[str, _LocalLoadRequest] = {}
@@ -33,7 +33,7 @@
         return len(self._requests)
 
     def add(self, now_ms: float, request: LoadRequest) -> bool:
-        """Take that calls need a function; False where there are too many requests."""
+        """Record that calls need a function; return False if there are too many requests."""
         known = self._requests.get(request.function)
         if known is None:
             if len(self._requests) >= MAX_LOAD_REQUESTS:
@@ -51,23 +51,23 @@
         self._requests.clear()
 
     def copy_found(self, function: str) -> None:
-        """Forget the request, as there is a copy."""
+        """Forget the request, because a copy exists."""
         self._requests.pop(function, None)
         self._lost.pop(function, None)
 
     def copy_lost(self, function: str, scorer: int) -> None:
-        """Remember where a reported copy was not found, for the next request."""
+        """Record where a reported copy was missing; the next request states it."""
         if len(self._lost) < MAX_LOAD_REQUESTS:
             self._lost[function] = scorer
 
     def expect(self, function: str, due_ms: float) -> None:
-        """Take when the coordinator expects a copy."""
+        """Record when the coordinator expects a copy."""
         request = self._requests.get(function)
         if request is not None:
             request.due_ms = due_ms
 
     def due_ms(self, function: str) -> float | None:
-        """When a copy is expected, as far as its coordinator said."""
+        """When the coordinator expects a copy; None if it has not told."""
         request = self._requests.get(function)
         return None if request is None else request.due_ms
 
@@ -78,7 +78,7 @@
     def take_due(
         self, now_ms: float, coordinator_of: Callable[[str], str]
     ) -> list[tuple[str, list[LoadRequest]]]:
-        """The requests to send now, the largest weight first, by coordinator; old ones are forgotten."""
+        """Return the requests to send now by coordinator, largest weight first; drop expired requests."""
         due: dict[str, list[str]] = {}
         for function, request in list(self._requests.items()):
             if now_ms - request.needed_ms > FORGET_MS:
--- a/fawnwharf/recovery_service/local_status.py
+++ b/fawnwharf/recovery_service/local_status.py
@@ -1,4 +1,4 @@
-"""What a running front end knows of itself for its recovery agent, read from its other parts."""
+"""Reads the status of a running front end from its parts, for the recovery agent."""
 
 import hashlib
 
@@ -28,7 +28,7 @@
         *,
         knows_earlier_use: bool,
     ) -> None:
-        """`knows_earlier_use` is whether the store had what was called before the start."""
+        """`knows_earlier_use` tells whether the store had the calls served before this start."""
         self._zones = zones
         self._state = state
         self._store = store
@@ -36,10 +36,10 @@
         self._knows_earlier_use = knows_earlier_use
 
     def member_lists(self) -> MemberLists:
-        """The lists of the file of members."""
+        """The lists of members, voters and replicas in the membership file."""
         members = self._zones.core.membership
         placement = self._state.core.placement
-        # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
+        # The digest excludes addresses: members may use different addresses for the same membership.
         identity = sorted(
             (entry.name, entry.zone, entry.region, bool(entry.voter_address), bool(entry.replication_address))
             for entry in members.members
@@ -54,7 +54,7 @@
         )
 
     def read(self, front: FrontEnd, *, roster_received: bool) -> LocalStatus:
-        """The status now; `roster_received` is whether the change log sent one in this incarnation."""
+        """Return the current status; `roster_received`: the change log sent a roster in this incarnation."""
         now_ms = monotonic_ms()
         replica = self._state.core.replica
         roster_received = roster_received or front.change_log.up_to_date_ms is not None
@@ -78,7 +78,7 @@
         return PlanVersion(number, _digest(text.encode()))
 
     def _has_scorers(self, front: FrontEnd, now_ms: float, *, roster_received: bool) -> bool:
-        """Whether some scorer takes calls, by the roster, by its answers, or by what the zones saw."""
+        """Whether some scorer accepts calls, by the roster, by its answers, or by reports of the zones."""
         listed = any(member.phase == "in_service" for member in front.roster_overlay.members.values())
         if (roster_received and listed) or self._counters.scorer_answered:
             return True
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -1,6 +1,6 @@
-"""Messages between members after a power loss, carried by the logs of zones and of replication.
+"""Messages between members after a power loss, carried by the zones log and the replication log.
 
-Values that are checked as they arrive; no logic. A lost message costs time alone: all are sent again.
+Messages are validated on arrival. All messages are sent again, so a lost one only costs time.
 """
 
 from typing import Annotated, Any
@@ -13,7 +13,7 @@
 from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
 
-LOG_CLIENT = "recovery"  # of both logs; the kind of its register as well
+LOG_CLIENT = "recovery"  # client name in both logs, and kind of its register in the consensus log
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 BootId = Annotated[str, Meta(max_length=64)]
@@ -25,48 +25,49 @@
     """A member's incarnation, the boot of its machine, and the position of its store's folder."""
 
     incarnation: Number = field(name="life")
-    boot: BootId = field(name="mark")  # empty: the system has none
+    boot: BootId = field(name="mark")  # empty if the system has none
     position: FolderPosition = field(name="sign")
 
 
 class KnownPosition(Struct, frozen=True, tag="Known"):
-    """From a voter to a member that started again: the position that an earlier incarnation reported."""
+    """Sent to a member that restarted: the folder position that its earlier incarnation reported."""
 
     incarnation: Number = field(name="life")  # of the receiver
     position: FolderPosition = field(name="sign")
 
 
 class CallCounts(Struct, frozen=True, array_like=True):
-    """Calls of the last second or so: served in time, and all."""
+    """Counts of recent calls: those served in time, and all."""
 
     in_time: Number = 0
     total: Number = 0
 
     @property
     def share(self) -> float:
-        """The share of calls that were served in time; 1 where there were none."""
+        """The share of calls that were served in time; 1 without any calls."""
         return self.in_time / self.total if self.total else 1.0
 
 
 class StatusReport(Struct, frozen=True, tag="Standing"):
-    """A front end's status, for the leader."""
+    """A front end's status, reported to the leader."""
 
     incarnation: Number = field(name="life")
     queries_done: bool = field(name="asked")  # its startup queries are over
-    knows_grants: bool = field(name="sure")  # its replica knows all that it granted; True where it has none
+    knows_grants: bool = field(name="sure")  # its replica knows all its grants; True without a replica
     priority_calls: CallCounts = field(name="first", default=CallCounts())
     calls: CallCounts = field(name="served", default=CallCounts())
-    loads: Number = 0  # that ended
-    slowdown: Slowdown = field(name="slow", default=1.0)  # of these loads, against calm
-    failed_scorers: Number = field(name="fell", default=0)  # warming ones, since its start
-    issued_alone: bool = field(name="gave", default=False)  # permits lately, and by no phase of the leader's
+    loads: Number = 0  # recently completed loads
+    slowdown: Slowdown = field(name="slow", default=1.0)  # mean duration of these loads over the normal one
+    failed_scorers: Number = field(name="fell", default=0)  # warming scorers that failed since its start
+    # Whether it recently issued permits without a phase announced by a leader.
+    issued_while_partitioned: bool = field(name="gave", default=False)
 
 
 class PhaseAnnouncement(Struct, frozen=True, tag="Told"):
-    """The leader's announcement, under its lease, that this is the last register.
+    """The leader's announcement, under its lease, of the latest register.
 
-    `sent_ms` is of the leader's own clock: two messages of one incarnation show by how much the later one was
-    delayed.
+    `sent_ms` is a reading of the leader's clock. Comparing two messages of one incarnation shows how much
+    longer one was delayed than the other.
     """
 
     incarnation: Number = field(name="life")
@@ -79,7 +80,7 @@
 
 
 def recovery_message_from(data: Any) -> RecoveryMessage:
-    """Check a message that arrived; raise `msgspec.ValidationError` for what is none."""
+    """Decode a received message; raises `msgspec.ValidationError` if it is malformed."""
     message: RecoveryMessage = msgspec.convert(data, RecoveryMessage)
     return message
 
@@ -88,20 +89,19 @@
 
 
 class DisplayedStatus(Struct, frozen=True, omit_defaults=True):
-    """A member's status in its zones' log, for operators."""
+    """A member's status in its zones log, for operators."""
 
     incarnation: Number = field(name="life")
     boot: BootId = ""
-    phase: Text = field(name="stage", default="")  # empty: it follows none, and is partitioned
-    source: Text = field(name="how", default="")  # of the phase
+    phase: Text = field(name="stage", default="")  # empty while partitioned
+    source: Text = field(name="how", default="")  # where the phase comes from
     power_loss: Number = field(name="cut", default=0)
     share: Share = field(name="part", default=0.0)
-    leader_term: Number = field(name="leads", default=0)  # 0: it does not lead
-    reason: Text = field(name="why", default="")  # the leader's, of the last register
-    front_ends: Number = field(name="fronts", default=0)  # that the leader hears of
-    voters: Annotated[tuple[Name, ...], Meta(max_length=64)] = field(
-        name="heard", default=()
-    )  # heard of lately
+    leader_term: Number = field(name="leads", default=0)  # 0 if it does not lead
+    reason: Text = field(name="why", default="")  # why the leader decided the last register
+    front_ends: Number = field(name="fronts", default=0)  # how many report to it as the leader
+    # Voters from which a message arrived recently.
+    voters: Annotated[tuple[Name, ...], Meta(max_length=64)] = field(name="heard", default=())
     queries: Annotated[dict[Text, Text], Meta(max_length=16)] = field(name="asked", default_factory=dict)
     missing: Annotated[tuple[Text, ...], Meta(max_length=16)] = field(name="without", default=())
     doubts: Annotated[tuple[Text, ...], Meta(max_length=16)] = ()
--- a/fawnwharf/recovery_service/permit_view.py
+++ b/fawnwharf/recovery_service/permit_view.py
@@ -21,7 +21,7 @@
     is_first: bool = False  # nobody issued anything since this power loss
 
 
-def continues(before: AssignmentNumber | None, after: AssignmentNumber | None) -> bool:
+def permits_carry_over(before: AssignmentNumber | None, after: AssignmentNumber | None) -> bool:
     """Whether what was one's own by the assignment before is so still: none was missed between."""
     if before is None or after is None:
         return before == after
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -16,7 +16,7 @@
 from fawnwharf.zones.log_lines import ConsensusStatus
 
 SCAN_MS = 100.0  # interval of evaluating what all reported
-ALL_ZONES = 3  # from so many zones on, one zone's replicas are not waited for
+MIN_ZONES_TO_SKIP_ONE = 3  # from so many zones on, one zone's replicas are not waited for
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         more, one zone's that don't come back are not waited for, as the others have what they granted.
         """
         zones = [sum(map(knows, names)) / len(names) for names in self.by_zone if names]
-        if len(zones) < ALL_ZONES:
+        if len(zones) < MIN_ZONES_TO_SKIP_ONE:
             return sum(map(knows, self.replicas)) / len(self.replicas) if self.replicas else 1.0
         return min(sorted(zones)[1:])
 
@@ -46,7 +46,7 @@
 class LeaderTiming:
     """Durations in milliseconds."""
 
-    calm_report_valid_ms: float  # a report counts for so long in calm
+    normal_report_valid_ms: float  # a report counts for so long in calm
     report_valid_ms: float  # and in a recovery
     announce_interval_ms: float
 
@@ -126,8 +126,8 @@
         self._failures = {name: count for name, count in self._failures.items() if name in kept}
 
     def _valid_reports(self, now_ms: float) -> dict[str, StatusReport]:
-        is_calm = self.coordinator.register.stage == RecoveryPhase.NORMAL
-        valid_ms = self.timing.calm_report_valid_ms if is_calm else self.timing.report_valid_ms
+        is_normal = self.coordinator.register.stage == RecoveryPhase.NORMAL
+        valid_ms = self.timing.normal_report_valid_ms if is_normal else self.timing.report_valid_ms
         return {
             name: status.report
             for name, status in self.reports.items()
@@ -155,7 +155,7 @@
             slow=slowdown,
             fell=self._new_failures(by_name),
             givers=tuple(sorted(choose_load_coordinators(replicas, MAX_PERMIT_ISSUERS, 0))),
-            gave=any(report.issued_alone for report in reports),
+            gave=any(report.issued_while_partitioned for report in reports),
         )
 
     def _new_failures(self, by_name: dict[str, StatusReport]) -> int:
@@ -204,7 +204,7 @@
         reachable = 0
         for voter in self.coordinator.voters:
             reported = self.boots.get(voter.partition("#")[0], _ReportedBoot())
-            if now_ms - reported.received_ms < self.timing.calm_report_valid_ms:
+            if now_ms - reported.received_ms < self.timing.normal_report_valid_ms:
                 reachable += 1
                 if reported.boot:
                     by_voter[voter] = reported.boot
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -20,7 +20,7 @@
 from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import stored_state as s
 from fawnwharf.recovery_service.settings import settings_from
-from fawnwharf.recovery_service.stored_promises import StoredPromises
+from fawnwharf.recovery_service.stored_promises import StoredGrants
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.settings import parse_settings as state_settings
 from fawnwharf.zones.files import load_file
@@ -69,8 +69,8 @@
         now = self._clock()
         self._recovered = s.recover_state(found, now, settings.age_limits, fleet_is_new=fleet_is_new)
         self.same_boot = self._recovered.same_boot
-        self.ended_in_order = found.closed_cleanly
-        self.known_list = self._recovered.known_list
+        self.closed_cleanly = found.closed_cleanly
+        self.complete_membership_number = self._recovered.complete_membership_number
         self.doubt = self._recovered.doubt
         self.condition = StoreCondition.PARTIAL if self.doubt else StoreCondition.INTACT
         self.was_empty = found.fresh
@@ -122,7 +122,7 @@
         fields = {
             "incarnation": self.folder_incarnation,
             "same_boot": self.same_boot,
-            "in_order": self.ended_in_order,
+            "in_order": self.closed_cleanly,
             "why": self.doubt,
             "entries": len(self.store.core.entries),
             "torn": self.store.recovered.torn_bytes,
@@ -150,9 +150,9 @@
         """Whether a graceful shutdown has to wait for this part."""
         return False
 
-    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> StoredPromises:
+    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> StoredGrants:
         """The storage of the front end's replica; `folder` is where its own file would be without a store."""
-        return StoredPromises(self, core, folder)
+        return StoredGrants(self, core, folder)
 
     # --- what was found -------------------------------------------------------------------------
 
@@ -207,7 +207,7 @@
         """Take the store for incomplete, also in later incarnations, until others confirm what was found."""
         self.condition = StoreCondition.PARTIAL
         self.doubt = reason
-        self.known_list = 0
+        self.complete_membership_number = 0
         self._put(s.DOUBT, s.LAST, s.encode_entry(self._clock(), reason))
         self._put(s.COMPLETE, s.LAST, None)
         self._log("recovery store incomplete", {"why": reason})
@@ -279,9 +279,9 @@
         """Store one session's placement, as `keep`."""
         return self.keep(StateKind.PLACEMENTS, key, value)
 
-    def keep_known_list(self, number: int) -> None:
+    def keep_complete_membership_number(self, number: int) -> None:
         """Store that the replica knows all that it granted, by this list of members; 0: it does not."""
-        self.known_list = number
+        self.complete_membership_number = number
         data = s.encode_entry(self._clock(), number) if number else None
         self._put(s.COMPLETE, s.LAST, data)
 
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -84,7 +84,7 @@
         self._earlier_roster_tried = False
         self.roster = RosterRecorder()
         self._use = UsageRecorder(monotonic_ms())
-        self._calm_since_ms: float | None = None
+        self._normal_since_ms: float | None = None
         self._messages: list[ClientMessage] = []
         self.displayed: DisplayedStatus | None = None
         self._displayed_ms = float("-inf")
@@ -240,11 +240,11 @@
         if self._stopped:
             return
         now_ms = monotonic_ms()
-        calm_ms = 0.0 if self._calm_since_ms is None else now_ms - self._calm_since_ms
-        is_calm = self._calm_since_ms is not None and calm_ms >= self.settings.timing.most_ms
-        self.calls.counting = not is_calm
-        self.counters.calm = is_calm
-        if is_calm:
+        calm_ms = 0.0 if self._normal_since_ms is None else now_ms - self._normal_since_ms
+        is_normal = self._normal_since_ms is not None and calm_ms >= self.settings.timing.most_ms
+        self.calls.counting = not is_normal
+        self.counters.normal_operation = is_normal
+        if is_normal:
             self._store_hints(now_ms)
             if self.parts.store.condition is StoreCondition.PARTIAL:
                 self._confirm_store()
@@ -283,9 +283,9 @@
 
     def _apply(self, effect: ApplyPhase) -> None:
         if effect.phase is not RecoveryPhase.NORMAL:
-            self._calm_since_ms = None
-        elif self._calm_since_ms is None:
-            self._calm_since_ms = monotonic_ms()
+            self._normal_since_ms = None
+        elif self._normal_since_ms is None:
+            self._normal_since_ms = monotonic_ms()
         if effect.allowed.status:
             self.front.client_port.not_ready_reasons.discard(RECOVERY)
         else:
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -167,11 +167,11 @@
         super().scorer_seen(scorer, up_ms, now_ms)
         self.issuer.scorer_seen(now_ms, scorer, now_ms - up_ms)
 
-    def reach(self, now_ms: float, names: list[str], allowed: AllowedActions) -> None:
+    def set_reachable(self, now_ms: float, names: list[str], allowed: AllowedActions) -> None:
         """Take which front ends are reachable, and what is allowed."""
         self.issuer.update(now_ms, names, names, allowed, 1)
         self.gate.apply(allowed, self.issuer)
 
-    def pace(self, allowed: AllowedActions, rate_ps: float) -> None:
+    def set_admitted_rate(self, allowed: AllowedActions, rate_ps: float) -> None:
         """Set what is admitted, in calls a second."""
         self.admission.apply(allowed, rate_ps, self.issuer)
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -38,11 +38,11 @@
 FRONT_ENDS = 6
 SCORERS = 6
 FUNCTIONS = 60
-CALM_RPS = 60.0
+STEADY_RPS = 60.0
 BEGIN_MS = 10_000.0
 BURST_MS = 13_000.0
 CALLS = 240  # of the burst
-CALM_SECONDS = 20
+STEADY_SECONDS = 20
 ATTEMPTS = 3  # of a client, at most
 END_MS = 33_000.0
 WHEEL_MS = 4.0
@@ -60,7 +60,7 @@
     }
     return io.Settings(
         classes=classes,
-        quotas_rps={"t": CALM_RPS},
+        quotas_rps={"t": STEADY_RPS},
         fleet_size=FRONT_ENDS,
         max_attempts=2,
         max_retry_after_ms=4_000.0,
@@ -115,8 +115,8 @@
 
     def _plan_calls(self) -> None:
         times = [BURST_MS + self.random.uniform(0.0, 1_000.0) for _ in range(CALLS)]
-        calm = int(CALM_RPS * CALM_SECONDS)
-        times += [BURST_MS + self.random.uniform(0.0, END_MS - BURST_MS) for _ in range(calm)]
+        steady_calls = int(STEADY_RPS * STEADY_SECONDS)
+        times += [BURST_MS + self.random.uniform(0.0, END_MS - BURST_MS) for _ in range(steady_calls)]
         rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
         functions = self.random.choices(list(self.functions), rates, k=len(times))
         for n, (at_ms, function) in enumerate(zip(times, functions, strict=True)):
@@ -139,13 +139,13 @@
 
     def _follow(self, front_end: CoordinatedFrontEnd, phase: RecoveryPhase) -> None:
         names = [front_end.name for front_end in self.front_ends]
-        front_end.reach(self.queue.now_ms, names, allowed_in_phase(phase, PRIORITY_WEIGHTS))
-        self._pace(front_end)
+        front_end.set_reachable(self.queue.now_ms, names, allowed_in_phase(phase, PRIORITY_WEIGHTS))
+        self._set_admitted_rate(front_end)
 
-    def _pace(self, front_end: CoordinatedFrontEnd) -> None:
+    def _set_admitted_rate(self, front_end: CoordinatedFrontEnd) -> None:
         fleet_rps = self.limits.fall_multiple * self.limits.calls_rps(self.scorers.ages_ms())
         phase = RecoveryPhase.ALL_CALLS if self.queue.now_ms >= BURST_MS else RecoveryPhase.RETRIES
-        front_end.pace(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
+        front_end.set_admitted_rate(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
 
     def _tick(self) -> None:
         self.queue.after(TICK_MS, self._tick)
@@ -153,7 +153,7 @@
         for front_end in self.coordinated:
             self.carry_out(front_end, front_end.issuer.tick(now_ms))
             if int(now_ms / TICK_MS) % 10 == 0:
-                self._pace(front_end)
+                self._set_admitted_rate(front_end)
 
     def _advance_wheels(self) -> None:
         self.queue.after(WHEEL_MS, self._advance_wheels)
@@ -187,7 +187,7 @@
     def _call(self, client: str, function: str, attempts_left: int) -> None:
         times = self.functions[function]
         kind = FUNCTION_KINDS[times.class_name]
-        promise_ms, give_up_ms, weight = kind[1], kind[2], kind[3]
+        latency_target_ms, give_up_ms, weight = kind[1], kind[2], kind[3]
         called_ms = self.queue.now_ms
         if attempts_left == ATTEMPTS:
             self.calls += 1
@@ -201,7 +201,7 @@
             ended = True
             if not isinstance(outcome, Succeeded):
                 self._retry(outcome, client, function, attempts_left)
-            elif self.queue.now_ms - called_ms <= promise_ms:
+            elif self.queue.now_ms - called_ms <= latency_target_ms:
                 self.in_time += 1
                 self.weight_in_time += weight
 
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -19,7 +19,7 @@
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import StateKind, TrustLevel
-from fawnwharf.recovery_service.stored_state import RecoveredPromise, TrustedEntry
+from fawnwharf.recovery_service.stored_state import RecoveredGrant, TrustedEntry
 from fawnwharf.replication.call_owner import OwnerAction, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
@@ -34,10 +34,10 @@
 Later = Callable[[list[OwnerAction]], None]
 
 
-class PromiseStore(Protocol):
+class GrantStore(Protocol):
     """The store, as it is used here: `RecoveryStore`."""
 
-    known_list: int
+    complete_membership_number: int
     doubt: str
 
     @property
@@ -53,7 +53,7 @@
     def keep(self, kind: StateKind, key: str, value: Any | None) -> bool:
         """Store an entry; False where it is rejected."""
 
-    def keep_known_list(self, number: int) -> None:
+    def keep_complete_membership_number(self, number: int) -> None:
         """Store by which list of members the replica knows all that it granted."""
 
     def when_committed(self, callback: Callable[[bool, str], None]) -> None:
@@ -94,10 +94,10 @@
     commit: _PendingCommit
 
 
-class StoredPromises:
+class StoredGrants:
     """Owns what of a replica's claim store is in the recovery store, and what waits until it is on disk."""
 
-    def __init__(self, store: PromiseStore, core: ReplicationCore, folder: Path | None = None) -> None:
+    def __init__(self, store: GrantStore, core: ReplicationCore, folder: Path | None = None) -> None:
         """Restore the claim store; the replica grants at once where this is all it granted for certain.
 
         `folder` is where an incarnation without a recovery store would have left a file; one that is there
@@ -116,8 +116,8 @@
         store.on_incomplete(self._store_incomplete)
         self._move_files_aside(folder)
         restored_all = self._restore(monotonic_ms())
-        self._stored_list = store.known_list
-        trusted = restored_all and store.known_list == core.placement.number
+        self._stored_membership_number = store.complete_membership_number
+        trusted = restored_all and store.complete_membership_number == core.placement.number
         if trusted:
             self._replica.mark_complete()
         claims = self._replica.claim_store
@@ -143,11 +143,11 @@
         restored_all = True
         for entry in self._store.read(StateKind.GRANT):
             if entry.trust is TrustLevel.NOW:
-                restored_all &= self._restore_claim(now_ms, entry.key, RecoveredPromise(*entry.value))
+                restored_all &= self._restore_claim(now_ms, entry.key, RecoveredGrant(*entry.value))
         self._store.release(StateKind.GRANT)
         return restored_all
 
-    def _restore_claim(self, now_ms: float, name: str, promise: RecoveredPromise) -> bool:
+    def _restore_claim(self, now_ms: float, name: str, promise: RecoveredGrant) -> bool:
         claim = msgspec.convert(promise.claim, Claim)
         key = name.split("/", 2)[2]
         age_ms = OTHER_BOOT_AGE_MS
@@ -170,7 +170,7 @@
 
     def _store_incomplete(self) -> None:
         """Have the replica learn again, as the store turned out to be incomplete."""
-        self._stored_list = 0
+        self._stored_membership_number = 0
         self._replica.mark_incomplete(monotonic_ms())
 
     def close(self) -> None:
@@ -208,7 +208,7 @@
                 del self._claims[name]
                 self._store.keep(StateKind.GRANT, name, None)
 
-    def _keep_known_list(self, now_ms: float) -> None:
+    def _keep_complete_membership_number(self, now_ms: float) -> None:
         """Store whether this replica knows all its grants, and would after a restart, if that has changed.
 
         That it does not is on disk before another replica receives anything that depends on it.
@@ -216,13 +216,13 @@
         replica = self._replica
         replica.storage_failed = False
         stored_all = now_ms >= self._unstored_until_ms
-        known_list = self._core.placement.number if stored_all and replica.is_complete(now_ms) else 0
+        number = self._core.placement.number if stored_all and replica.is_complete(now_ms) else 0
         replica.storage_failed = bool(self._store.failing)  # nothing more is granted meanwhile
-        if known_list == self._stored_list:
+        if number == self._stored_membership_number:
             return
-        self._stored_list = known_list
-        self._store.keep_known_list(known_list)
-        self._incomplete_commit = None if known_list else self._incomplete_commit or _PendingCommit()
+        self._stored_membership_number = number
+        self._store.keep_complete_membership_number(number)
+        self._incomplete_commit = None if number else self._incomplete_commit or _PendingCommit()
 
     # --- what may be sent -----------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
         commit = _PendingCommit()
         rejected = self._keep_unwritten(now_ms, commit)
         incomplete_before = self._incomplete_commit
-        self._keep_known_list(now_ms)
+        self._keep_complete_membership_number(now_ms)
         ready = [effect for effect in effects if not self._hold_back(effect, commit, rejected)]
         ready = [self._without_rejected(effect, rejected) for effect in ready]
         if self._incomplete_commit is not None and self._incomplete_commit is not incomplete_before:
@@ -301,7 +301,7 @@
         if self._incomplete_commit is commit:
             self._incomplete_commit = None
             if not on_disk:
-                self._stored_list = UNCERTAIN
+                self._stored_membership_number = UNCERTAIN
         for key in commit.own_calls:
             call = self._open_calls.get(key)
             if call is not None and call.commit is commit:
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -98,7 +98,7 @@
     trust: TrustLevel
 
 
-class RecoveredPromise(NamedTuple):
+class RecoveredGrant(NamedTuple):
     """The value of a promise's entry; the times are those that the store adds."""
 
     remaining_ms: float  # at the start
@@ -119,12 +119,14 @@
 
     incarnation: int  # that the one before was known by
     same_boot: bool
-    ended_in_order: bool
+    closed_cleanly: bool
     doubt: str  # why the store is incomplete; empty: it is complete
     is_new_doubt: (
         bool  # no earlier incarnation knew of it, so that what a replica knew of itself counts no more
     )
-    known_list: int  # the list of members by which the replica knew all that it had granted; 0: it did not
+    complete_membership_number: (
+        int  # the list of members by which the replica knew all that it had granted; 0: it did not
+    )
     entries: dict[StateKind, list[RecoveredEntry]]
     obsolete: list[EntryKey]  # what is over or can't be read, to be deleted
 
@@ -180,7 +182,7 @@
         found.closed_cleanly,
         doubt,
         is_new_doubt,
-        0 if is_new_doubt else _stored_known_list(found.entries),
+        0 if is_new_doubt else _stored_complete_membership_number(found.entries),
         entries,
         obsolete,
     )
@@ -230,22 +232,22 @@
     return str(entry.value) if entry is not None else "a doubt that can't be read"
 
 
-def _stored_known_list(entries: Mapping[f.EntryKey, bytes]) -> int:
+def _stored_complete_membership_number(entries: Mapping[f.EntryKey, bytes]) -> int:
     entry = _decode_entry(entries.get((COMPLETE, LAST), b""))
     return entry.value if entry is not None and isinstance(entry.value, int) else 0
 
 
 def _trust(
-    kind: StateKind, age: StateAge, is_same_boot: bool, ended_in_order: bool, condition: StoreCondition
+    kind: StateKind, age: StateAge, is_same_boot: bool, closed_cleanly: bool, condition: StoreCondition
 ) -> TrustLevel:
-    return trust_level(StoredState(kind, age, ended_in_order, is_same_boot, store=condition))
+    return trust_level(StoredState(kind, age, closed_cleanly, is_same_boot, store=condition))
 
 
 def read_entries(state: RecoveredState, kind: StateKind, condition: StoreCondition) -> list[TrustedEntry]:
     """What was found of a kind, with its trust level by the store's condition now."""
     trusted = []
     for entry in state.entries.get(kind, ()):
-        trust = _trust(kind, entry.age, state.same_boot, state.ended_in_order, condition)
+        trust = _trust(kind, entry.age, state.same_boot, state.closed_cleanly, condition)
         if trust is not TrustLevel.GONE:
             trusted.append(TrustedEntry(entry.key, entry.value, trust))
     return trusted
--- a/tests/recovery_service/test_recovery_service_assigned_permits.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -182,7 +182,7 @@
         LeaderTiming(1_000.0, 1_000.0, 100.0),
     )
     for name in "abd":
-        lead.receive_status(0.0, name, w.StatusReport(1, True, True, issued_alone=name == "a"))
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True, issued_while_partitioned=name == "a"))
     assert lead.observe(10.0).givers == ("b", "d") and lead.observe(10.0).gave
 
 
--- a/tests/recovery_service/test_recovery_service_counters.py
+++ b/tests/recovery_service/test_recovery_service_counters.py
@@ -6,7 +6,7 @@
 from fawnwharf.net.requests import Rejected, Succeeded
 from fawnwharf.recovery_service import call_outcomes
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
-from fawnwharf.recovery_service.counters import SPAN_MS, FrontEndCounters
+from fawnwharf.recovery_service.counters import REPORT_WINDOW_MS, FrontEndCounters
 from fawnwharf.recovery_service.messages import CallCounts
 
 WORTHS = {"view": 1.0, "save": 5.0}
@@ -31,7 +31,7 @@
         counters.call_ended(at_ms, name, good)
     told = counters.report(1_000.0)
     assert (told.priority_calls, told.calls) == (CallCounts(1, 2), CallCounts(2, 4))
-    told = counters.report(SPAN_MS + 500)
+    told = counters.report(REPORT_WINDOW_MS + 500)
     assert (told.priority_calls, told.calls) == (CallCounts(1, 1), CallCounts(2, 3))
     assert counters.report(9_000.0).calls.share == 1.0  # no calls: none was served late
 
@@ -48,12 +48,12 @@
     counters.event(6.0, order(2, copies=0), 0.0)
     counters.event(7.0, order(2, took_ms=50.0), 0.0)  # it had gone, and was loaded anew
     assert counters.report(8.0).slowdown == 2.0
-    counters.calm = True
+    counters.normal_operation = True
     counters.event(5_000.0, order(3, function="g", took_ms=40.0), 0.0)
-    assert counters.calm_load_ms == 40.0
-    counters.calm = False
+    assert counters.normal_load_ms == 40.0
+    counters.normal_operation = False
     counters.event(5_001.0, order(4, function="g", took_ms=400.0), 0.0)
-    assert counters.report(5_002.0).slowdown == 10.0 and counters.calm_load_ms == 40.0
+    assert counters.report(5_002.0).slowdown == 10.0 and counters.normal_load_ms == 40.0
 
 
 def test_a_warming_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
--- a/tests/recovery_service/test_recovery_service_processes.py
+++ b/tests/recovery_service/test_recovery_service_processes.py
@@ -66,7 +66,7 @@
     settings = RecoveryStoreSettings(tmp_path / "d", "f", "n0", str(boot), StoreLimits())
     kept = RecoveryStore(settings, lambda what, more: None)
     try:
-        assert (kept.condition, kept.same_boot, kept.ended_in_order, kept.known_list) == (
+        assert (kept.condition, kept.same_boot, kept.closed_cleanly, kept.complete_membership_number) == (
             StoreCondition.INTACT,
             False,
             False,
--- a/tests/recovery_service/test_recovery_service_promise_disk_faults.py
+++ b/tests/recovery_service/test_recovery_service_promise_disk_faults.py
@@ -51,9 +51,9 @@
     no_room(cores.kepts[keeper])
     assert not asks(cores, cores.owners[0], keeper)().granted
     cores.turn()
-    assert cores.kepts[keeper].known_list == 0 and cores.sure(keeper)
+    assert cores.kepts[keeper].complete_membership_number == 0 and cores.sure(keeper)
     cores.wait(9_000)
-    assert cores.kepts[keeper].known_list == cores.cores[keeper].placement.number
+    assert cores.kepts[keeper].complete_membership_number == cores.cores[keeper].placement.number
     cores.end_all("cut", keeper)
     assert cores.sure(keeper)
 
--- a/tests/recovery_service/test_recovery_service_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -108,7 +108,7 @@
     site.until(
         lambda: not any(n.part.running.calls.counting for n in site.nodes), "it has been calm for long"
     )
-    assert all(n.part.running.counters.calm for n in site.nodes)
+    assert all(n.part.running.counters.normal_operation for n in site.nodes)
     site.power_loss(2)
     site.start()
     site.until(
--- a/tests/recovery_service/test_recovery_service_stored_state.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -27,7 +27,7 @@
     assert told == [True]
 
 
-def ended_in_order(site, kept):
+def closed_cleanly(site, kept):
     kept.store.close(lambda: site.now)
 
 
@@ -45,10 +45,10 @@
         kept.keep(StateKind.USAGE, "last", [1])
         site.pump(kept, 200.0)
         if order:
-            ended_in_order(site, kept)
+            closed_cleanly(site, kept)
         site.machine(name).kill() if end == "kill" else site.machine(name).cut(share=1.0)
         kept = site.kept(name)
-        assert (kept.condition, kept.same_boot, kept.ended_in_order, kept.folder_incarnation) == (
+        assert (kept.condition, kept.same_boot, kept.closed_cleanly, kept.folder_incarnation) == (
             StoreCondition.INTACT, end == "kill", order, 2,
         )  # fmt: skip
         assert kept.read(StateKind.PLAN) == [("last", {"number": 7}, plan)]
@@ -68,7 +68,7 @@
         kept = site.kept(fresh=not numbers)
         site.pump(kept, 200.0)
         numbers.append(kept.incarnation)
-        ended_in_order(site, kept)
+        closed_cleanly(site, kept)
         site.machine().kill()
     assert numbers == [5_000_000_000, 5_000_000_001, 5_000_000_002, 9_000_000_000, 9_000_000_001]
 
@@ -142,7 +142,7 @@
 
 def test_a_repaired_folder_is_in_part_and_what_its_replica_knew_is_forgotten_once(site):
     kept = site.kept(fresh=True)
-    kept.keep_known_list(3)
+    kept.keep_complete_membership_number(3)
     for n in range(5):
         on_disk(site, kept, StateKind.PLAN, "last", n)
     disk = site.machine().disk
@@ -157,13 +157,13 @@
     assert (
         kept.condition is StoreCondition.PARTIAL
         and kept.doubt.startswith("repaired")
-        and kept.known_list == 0
+        and kept.complete_membership_number == 0
     )
-    kept.keep_known_list(3)  # it waited, and knows all again: that is its own, and outlives
+    kept.keep_complete_membership_number(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
-    assert (kept.condition, kept.known_list) == (StoreCondition.PARTIAL, 3)
+    assert (kept.condition, kept.complete_membership_number) == (StoreCondition.PARTIAL, 3)
     kept.confirm()
     site.pump(kept, 200.0)
     site.machine().cut()
@@ -172,7 +172,7 @@
 
 def test_an_older_copy_is_shown_by_what_others_heard_and_own_messages_are_none(site):
     kept = site.kept(fresh=True)
-    kept.keep_known_list(3)
+    kept.keep_complete_membership_number(3)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     machine = site.machine()
     older = machine.disk.copy()
@@ -189,15 +189,19 @@
     kept, told = site.kept(), []
     kept.on_incomplete(lambda: told.append(kept.condition))
     assert (
-        kept.condition is StoreCondition.INTACT and kept.known_list == 3
+        kept.condition is StoreCondition.INTACT and kept.complete_membership_number == 3
     )  # by the folder alone nothing shows it
     assert not kept.receive_position(heard)
-    assert told == [StoreCondition.PARTIAL] and kept.known_list == 0 and kept.doubt.startswith("rolled back")
+    assert (
+        told == [StoreCondition.PARTIAL]
+        and kept.complete_membership_number == 0
+        and kept.doubt.startswith("rolled back")
+    )
     assert not kept.receive_position(heard) and told == [StoreCondition.PARTIAL]  # said once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
-    assert (kept.condition, kept.known_list) == (StoreCondition.PARTIAL, 0)
+    assert (kept.condition, kept.complete_membership_number) == (StoreCondition.PARTIAL, 0)
     far = FolderPosition(heard.disk_id, 9, 9)
     assert not kept.receive_position(far)
     kept.confirm()
