--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -1,10 +1,10 @@
-"""First copies and calls to warming scorers after a power loss: permits that are issued and requested here.
+"""Issues and requests permits for first copies and for calls to warming scorers after a power loss.
 
-Pure: times, messages and answers come in, and actions go out (`actions.py`). Load coordinators and slow start
-coordinators are chosen among the reachable replicas, as only replicas receive from all. Where none is
-reachable, a front end issues permits to itself, within its share. Load requests are sent to a function's
-coordinator once a tick, and again while nothing comes of them, and each is answered: so a lost message costs
-time alone.
+This module does no I/O: it takes times, messages and answers, and returns actions (`actions.py`). Load
+coordinators and slow start coordinators are chosen among the reachable replicas, as only replicas receive
+messages from all members. If no replica is reachable, a front end issues permits to itself within its share.
+Load requests are sent to a function's coordinator once a tick and repeated until they have a result. The
+coordinator answers each of them, so a lost message only costs time.
 """
 
 import math
@@ -34,19 +34,17 @@
 from fawnwharf.recovery_service.local_load_requests import LocalLoadRequests
 from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView
 
-TICK_MS = 50.0  # messages are gathered for so long
-VIEW_LAG_MS = 1_750.0  # within which all see who is reachable: a silent member's time, and a scan
-TYPICAL_LOAD_MS = 2_000.0  # a load takes no longer, as a rule
-SPREAD_MS = 1_000.0  # coordinators begin within that, where they are chosen by who is reachable
-ANNOUNCEMENT_VALID_MS = (
-    5_000.0  # a front end follows an announced register for so long (`PhaseTiming.alone_ms`)
-)
-EXPIRY_SCAN_MS = 250.0  # and sees so late at most that it is over
+TICK_MS = 50.0  # messages are batched for this time
+VIEW_LAG_MS = 1_750.0  # all front ends agree on reachability after this: the silence timeout plus one scan
+TYPICAL_LOAD_MS = 2_000.0  # loads usually take no longer
+SPREAD_MS = 1_000.0  # coordinators chosen by reachability start at different times within this
+ANNOUNCEMENT_VALID_MS = 5_000.0  # a front end follows an announced register this long: `PhaseTiming.alone_ms`
+EXPIRY_SCAN_MS = 250.0  # the longest delay until a front end notices that its register has expired
 MAX_PLACEMENTS = 20_000
 
 
 class PermitEvent(StrEnum):
-    """What is counted of load requests and reports of copies."""
+    """Counted events of load requests and copy reports; the values name the counters."""
 
     TOO_MANY_REQUESTS = "load requests beyond the limit"
     TOO_MANY_RECEIVED = "load requests of others beyond the limit"
@@ -62,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitTiming:
-    """Durations in milliseconds that issuers go by; all front ends of a fleet have the same."""
+    """Durations of permit issuing in milliseconds; all front ends of a fleet use the same values."""
 
     view_lag_ms: float = VIEW_LAG_MS
     typical_load_ms: float = TYPICAL_LOAD_MS
@@ -70,7 +68,7 @@
 
 
 class PermitIssuer:
-    """Owns the load requests of this front end and to it, and where first copies are as far as is known."""
+    """Handles the load requests sent and received by this front end, and the known first copies."""
 
     def __init__(
         self,
@@ -81,10 +79,10 @@
         timing: PermitTiming | None = None,
         orders_left: Callable[[], float] = lambda: math.inf,
     ) -> None:
-        """Begin without any copy known.
+        """Begin without any known copy.
 
-        `incarnation` differs with each start; `hash_order` is a function's scorers that take calls, by its
-        hash order; `orders_left` is how many orders the decision module may still make.
+        `incarnation` differs at each start. `hash_order` returns a function's scorers that accept calls, in
+        its hash order. `orders_left` returns how many orders the decision module may still make.
         """
         timing = timing or PermitTiming()
         self.name = name
@@ -102,13 +100,14 @@
         self._counts = Counter[PermitEvent]()
         self._allowed = AllowedActions()
         self._power_loss = -1
-        self._observed_power_loss = -1  # phases of it were followed here before anything was issued in it
+        # The power loss whose phases were followed here before any permit was issued in it; -1: none.
+        self._observed_power_loss = -1
         self._reachable: frozenset[str] = frozenset()
         self.requests = LocalLoadRequests()
 
     @property
     def counts(self) -> dict[str, int]:
-        """What was dropped, or came late, by cause."""
+        """Counts of dropped and late messages and requests, by cause."""
         counts: dict[str, int] = {}
         counts.update(self._counts.items())
         counts.update(self.coordination.counts.items())
@@ -129,14 +128,14 @@
         power_loss: int,
         assignment: PermitAssignment | None = None,
     ) -> None:
-        """Go by what is seen now; to be called at each change.
+        """Use the current view of the fleet; call this at each change.
 
-        `reachable` are the members that were heard of lately, `assignment` is the one of the register that is
-        followed.
+        `reachable` has the members that sent a message recently. `assignment` is the permit assignment in the
+        register that is followed.
 
-        The first assignment after a power loss waits for nothing at a front end that followed one of its
-        phases before the phase `WORTH`: no earlier incarnation of it issued anything since. One that learns
-        of it later waits as for any other.
+        A front end uses the first assignment after a power loss at once if it followed that recovery before
+        loads were allowed, as then none of its earlier incarnations issued permits since. A front end that
+        joins the recovery later waits as for any other assignment.
         """
         now_reachable = frozenset(reachable) | {self.name}
         view = self._view(now_reachable & frozenset(replicas), allowed, power_loss, assignment)
@@ -166,7 +165,7 @@
             lag_ms = 0.0 if is_first else self.announcement_valid_ms + EXPIRY_SCAN_MS
             return PermitView(assignment.givers, allowed.part, power_loss, number, lag_ms, is_first)
         if allowed.loads:
-            self._observed_power_loss = -1  # partitioned, or through a power loss of others
+            self._observed_power_loss = -1  # this front end is partitioned, or only others lost power
         elif assignment is not None:
             self._observed_power_loss = assignment.cut
         return PermitView(tuple(sorted(replicas)) or (self.name,), allowed.part, power_loss)
@@ -176,19 +175,19 @@
             spread_ms = SPREAD_MS if view.assignment is None else 0.0
             offset_ms = start_offset_ms(self.name, view.power_loss, spread_ms)
             self.coordination.queue.begins_ms = now_ms + offset_ms
-        for name in reachable - self._reachable - {self.name}:  # it gets all reports of this front end
+        for name in reachable - self._reachable - {self.name}:  # a new member receives all local reports
             own = [function for function, copy in self.copies.items() if copy.reporter == self.name]
             self.reports.add_for(name, own)
 
     def scorer_seen(self, now_ms: float, scorer: int, age_ms: float) -> None:
-        """Take that a scorer is up, and since when; one that started again has no copy."""
+        """Record that a scorer is up and for how long; a scorer that restarted has no copies."""
         known_ms = self.slow_start.age_ms(now_ms, scorer)
         if known_ms is not None and age_ms < known_ms - RETRY_MS:
             self._forget_copies(scorer)
         self.slow_start.scorer_seen(now_ms, scorer, age_ms)
 
     def scorer_gone(self, scorer: int) -> list[Action]:
-        """Forget a scorer; calls that waited for a permit for it may look elsewhere."""
+        """Forget a scorer; calls that waited for its permits retry and may find another scorer."""
         self._forget_copies(scorer)
         return [*self.slow_start.scorer_gone(scorer)]
 
@@ -199,17 +198,17 @@
     # --- calls here -------------------------------------------------------------------------------
 
     def request_copy(self, now_ms: float, request: m.LoadRequest) -> None:
-        """Take that calls here need a copy, or will by the usage before the power loss."""
+        """Record that local calls need a copy, or will need it, judging by usage before the power loss."""
         if request.function not in self.copies and not self.requests.add(now_ms, request):
             self._counts[PermitEvent.TOO_MANY_REQUESTS] += 1
 
     def place(self, function: str) -> int | None:
-        """The scorer that has the function's first copy."""
+        """The scorer that has the function's first copy; None if no copy is known."""
         copy = self.copies.get(function)
         return None if copy is None else copy.scorer
 
     def copy_lost(self, function: str, scorer: int) -> None:
-        """Take that the scorer has no copy any more, as an answer or the roster says."""
+        """Record that a scorer no longer has its copy, according to an answer or the roster."""
         copy = self.copies.get(function)
         if copy is None or copy.scorer != scorer:
             return
@@ -220,7 +219,7 @@
         self.requests.copy_lost(function, scorer)
 
     def eta_ms(self, now_ms: float, function: str) -> float:
-        """In how many milliseconds a copy is expected; 0 where there is one."""
+        """The milliseconds until a copy is expected; 0 if one is known."""
         if function in self.copies:
             return 0.0
         if self.permits.coordinator(function) == self.name:
@@ -231,17 +230,17 @@
         return max(MIN_ETA_MS, due_ms - now_ms)
 
     def request_permit(self, now_ms: float, scorer: int, key: str) -> float | None:
-        """Request a slow start permit for a call, as `CoordinatedSlowStart.request`."""
+        """Request a slow start permit for a call, as `CoordinatedSlowStart.request` does."""
         return self.slow_start.request(now_ms, scorer, key)
 
     def cancel_permit(self, key: str) -> None:
-        """Take that the call needs no permit any more."""
+        """Forget a call that no longer needs a permit."""
         self.slow_start.cancel(key)
 
     # --- messages ---------------------------------------------------------------------------------
 
     def receive(self, now_ms: float, sender: str, message: m.PermitMessage) -> list[Action]:
-        """Take another front end's message."""
+        """Handle a message from another front end."""
         if isinstance(message, m.LoadRequests):
             self._receive_requests(now_ms, sender, message.requests)
         elif isinstance(message, m.CopyReport):
@@ -260,7 +259,7 @@
         return []
 
     def _receive_requests(self, now_ms: float, sender: str, requests: Iterable[m.LoadRequest]) -> None:
-        """Take requests to this coordinator; the next tick answers each, also where there is a copy."""
+        """Handle requests to this coordinator; the next tick answers each, also if a copy exists."""
         for request in requests:
             function = request.function
             if self.permits.coordinator(function) != self.name:
@@ -291,7 +290,7 @@
         return actions
 
     def _note_copy(self, function: str, scorer: int, reporter: str) -> list[CopyAvailable]:
-        """Note where a copy is; calls that wait for it are notified if that is new."""
+        """Record where a copy is; return a notification for waiting calls if the place is new."""
         if function not in self.copies and len(self.copies) >= MAX_PLACEMENTS:
             self._counts[PermitEvent.TOO_MANY_PLACEMENTS] += 1
             return []
@@ -303,16 +302,16 @@
     # --- loads ------------------------------------------------------------------------------------
 
     def ordered(self, now_ms: float, scorer: int, function: str) -> None:
-        """Take that the decision module made an order; to be called for each that is sent."""
+        """Record that the decision module made an order; call this for each order that is sent."""
         self.coordination.ordered(now_ms, scorer, function)
         self.delegated.ordered(scorer, function)
 
     def is_own(self, scorer: int, function: str) -> bool:
-        """Whether an order there is one of a coordinator: this one, or one that delegated it."""
+        """Whether an order is made for a coordinator: this one, or one that delegated the order."""
         return self.coordination.is_own(scorer, function) or self.delegated.is_own(scorer, function)
 
     def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> list[Action]:
-        """Take a scorer's answer to any order or query."""
+        """Handle a scorer's answer to any order or query."""
         counts_copies = event.result in COUNTING_RESULTS
         if counts_copies and not event.copies:
             self.copy_lost(event.function, event.scorer)
@@ -322,7 +321,7 @@
         return actions
 
     def _loaded(self, now_ms: float, function: str, scorer: int) -> list[Action]:
-        """A copy exists that was ordered here."""
+        """Report a new copy that was ordered here, and use the freed permit."""
         self.reports.add_for_all(function)
         actions: list[Action] = [*self._note_copy(function, scorer, self.name)]
         if self._may_load:  # the permit is free again
@@ -336,7 +335,7 @@
     # --- ticks ------------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Do what is due; to be called every `TICK_MS`."""
+        """Return the due orders, requests and reports; call this every `TICK_MS`."""
         actions: list[Action] = [*self.coordination.overdue(now_ms), *self.delegated.tick(now_ms)]
         if self._may_load:
             actions += self._send_requests(now_ms)
@@ -346,7 +345,7 @@
         return [*actions, *self.slow_start.tick(now_ms)]
 
     def _report_spare_rate(self, now_ms: float) -> list[SendPermitMessage]:
-        """Offer to order for the coordinators that this front end waits for."""
+        """Offer spare orders to the coordinators that this front end waits for."""
         coordinators = self.requests.coordinators() - {self.name}
         if not coordinators:
             return []
@@ -355,7 +354,7 @@
         )
 
     def _send_requests(self, now_ms: float) -> list[SendPermitMessage]:
-        """Send what calls here need, the largest weight first, to each coordinator."""
+        """Send the due load requests to their coordinators, largest weight first."""
         messages = []
         for coordinator, requests in self.requests.take_due(now_ms, self.permits.coordinator):
             if coordinator == self.name:
@@ -365,7 +364,7 @@
         return messages
 
     def _placement(self, now_ms: float, function: str) -> m.CopyPlacement:
-        """What this front end reports of a function's first copy."""
+        """This front end's current report about a function's first copy."""
         if (scorer := self.place(function)) is not None:
             return m.CopyPlacement(function, scorer)
         if self.coordination.knows(function) and self.permits.coordinator(function) == self.name:
--- a/fawnwharf/recovery_service/permit_messages.py
+++ b/fawnwharf/recovery_service/permit_messages.py
@@ -1,7 +1,7 @@
 """Messages between front ends about load orders and slow start permits, carried by the replication logs.
 
-Values that are checked as they arrive; no logic. Messages may be lost, and those of an earlier incarnation
-may arrive late. So each response names its request, and reports about copies are numbered by their sender.
+Messages are validated on arrival. They may be lost, and messages of an earlier incarnation may arrive late.
+So each response names its request, and each sender numbers its copy reports.
 """
 
 from enum import IntEnum
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct, field
 
 MAX_FUNCTIONS_PER_MESSAGE = 200
-MAX_PERMITS_PER_REQUEST = 256  # of one scorer
+MAX_PERMITS_PER_REQUEST = 256  # for one scorer
 
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Span = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]
@@ -21,18 +21,18 @@
 
 
 class LoadRequest(Struct, frozen=True, array_like=True):
-    """A function that calls wait for: their class, their weight a second, and what a load order takes."""
+    """A function that calls wait for: their class and weight per second, and the load order's parameters."""
 
     function: FunctionName
     class_name: ClassName
     weight_ps: Annotated[float, Meta(ge=0.0, le=1e12)]
     lanes: Lanes = 1
     load_ms: Span | None = None
-    lost: Count | None = None  # the scorer where a copy was reported, and is not
+    lost: Count | None = None  # the scorer where a reported copy was not found
 
 
 class LoadRequests(Struct, frozen=True, tag="want"):
-    """To the load coordinator of these functions."""
+    """Load requests, sent to the load coordinator of their functions."""
 
     requests: Annotated[tuple[LoadRequest, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)] = field(
         name="rows"
@@ -40,7 +40,10 @@
 
 
 class CopyPlacement(Struct, frozen=True, array_like=True):
-    """A function's first copy: its scorer (`eta_ms` 0), when it is expected, or that there is none (None)."""
+    """The state of a function's first copy.
+
+    `eta_ms` is 0 if the copy exists at `scorer`, the time until it is expected, or None if there is no copy.
+    """
 
     function: FunctionName
     scorer: Count = 0
@@ -48,9 +51,9 @@
 
 
 class CopyReport(Struct, frozen=True, tag="stands"):
-    """From a load coordinator: copies that exist, to all; those that are expected, to who waits for them.
+    """A load coordinator's report: existing copies to all members, expected copies to those that wait.
 
-    Of two reports of one incarnation the one with the larger number is later.
+    Of two reports of one incarnation, the one with the larger number is later.
     """
 
     incarnation: Count = field(name="life")
@@ -61,7 +64,7 @@
 
 
 class PermitRequest(Struct, frozen=True, tag="asked"):
-    """To the slow start coordinator of a scorer: so many calls wait for the scorer here."""
+    """A request for `count` permits, sent to the slow start coordinator of a scorer."""
 
     scorer: Count
     number: Count  # of the request, unique within an incarnation
@@ -70,16 +73,16 @@
 
 
 class PermitResponse(Struct, frozen=True, tag="given"):
-    """One wait for each requested call: 0 is a permit, else no permit is free within so many milliseconds."""
+    """One wait in milliseconds for each requested permit: 0 grants it, else none is free before that time."""
 
     scorer: Count
     number: Count
-    incarnation: Count = field(name="life")  # of the one that requested
+    incarnation: Count = field(name="life")  # of the requesting front end
     waits_ms: Annotated[tuple[Span, ...], Meta(max_length=MAX_PERMITS_PER_REQUEST)] = field(name="free_ms")
 
 
 class SpareRate(Struct, frozen=True, tag="spare"):
-    """To load coordinators that this front end waits for: it could make so many orders for each of them."""
+    """An offer to load coordinators that the sender waits for: it can make `count` orders for each."""
 
     incarnation: Count = field(name="life")
     number: Count
@@ -87,7 +90,7 @@
 
 
 class DelegatedLoadOrder(Struct, frozen=True, tag="lend"):
-    """A coordinator's load order, to be made by the front end that reported spare rate `number`."""
+    """A coordinator's load order, to be made by the front end whose spare rate report has this number."""
 
     incarnation: Count = field(name="life")
     number: Count
@@ -99,7 +102,7 @@
 
 
 class DelegatedLoadResult(IntEnum):
-    """What became of a delegated load order."""
+    """The result of a delegated load order."""
 
     NOT_MADE = 0
     MADE = 1
@@ -108,7 +111,7 @@
 
 
 class DelegatedLoadReport(Struct, frozen=True, tag="lent"):
-    """What became of a delegated load order, to its coordinator."""
+    """The result of a delegated load order, sent to its coordinator."""
 
     scorer: Count = field(name="worker")
     function: FunctionName = field(name="row")
@@ -127,6 +130,6 @@
 
 
 def permit_message_from(data: Any) -> PermitMessage:
-    """Check a message that arrived; raise `msgspec.ValidationError` for what is none."""
+    """Decode a received message; raises `msgspec.ValidationError` if it is malformed."""
     message: PermitMessage = msgspec.convert(data, PermitMessage)
     return message
--- a/fawnwharf/recovery_service/rate_limited_log.py
+++ b/fawnwharf/recovery_service/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Lines for the operators' log, at most one a second of each kind."""
+"""Writes to the operators' log, limited to one line per second for each event."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -11,14 +11,14 @@
 
 
 class RateLimitedLog:
-    """Owns when a line of each kind was written last."""
+    """Tracks when a line of each event was last written."""
 
     def __init__(self, write: WriteLog) -> None:
         self.write = write
         self._written_ms: dict[str, float] = {}
 
     def write_limited(self, event: str, fields: Callable[[], Mapping[str, object]]) -> None:
-        """Write a line where one of its kind is due and `fields`, asked for then only, are not empty."""
+        """Write a line if the event is due and has fields; `fields` is called only if the event is due."""
         now_ms = monotonic_ms()
         if now_ms - self._written_ms.get(event, float("-inf")) < INTERVAL_MS:
             return
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -1,9 +1,9 @@
-"""Admission of calls after a power loss: stands between the clients' port and the request table.
+"""Admission of calls after a power loss, between the client port and the request table.
 
-By the phase that is followed it admits repeats of claimed calls, the priority classes, calls whose function
-has a copy, and calls to warming scorers by permits. The rest is rejected at once, with the time before which
-nothing can be free as Retry-After. A call waits here only while its promise may still be kept. Whatever
-comes, each call has one final answer.
+Depending on the recovery phase, it admits repeats of claimed calls, the priority classes, calls whose
+function has a copy, and calls to warming scorers that have a permit. Other calls are rejected at once; their
+Retry-After is the earliest time at which capacity can be free. A call waits here only while it can still meet
+its latency target. Every call gets exactly one final reply.
 """
 
 import itertools
@@ -26,16 +26,16 @@
 
 MAX_WAITING_CALLS = 4_096
 MAX_WAITING_BYTES = 8 * 1024 * 1024
-WAIT_FRACTION = 0.6  # of a class's promise that a call may wait here
-CLIENT_MARGIN_MS = 100.0  # left when the wait ends, before the client gives up
-RESERVED_FRACTION = 0.3  # of the burst, for the priority classes
-CLASS_REJECTED_MS = 1_000.0  # Retry-After for a class that is not admitted yet, at least
-MAX_RATES = 4_096  # functions whose calls are counted
-RATE_MS = 5_000.0  # for so long
+WAIT_FRACTION = 0.6  # of a class's latency target: the longest wait of a call here
+CLIENT_MARGIN_MS = 100.0  # the wait ends at least this long before the client gives up
+RESERVED_FRACTION = 0.3  # of the rate limiter's burst, reserved for the priority classes
+CLASS_REJECTED_MS = 1_000.0  # least Retry-After for a class that is not admitted yet
+MAX_RATES = 4_096  # functions whose call rates are tracked
+RATE_MS = 5_000.0  # time over which a function's call rate is measured
 
 
 class AdmissionOutcome(StrEnum):
-    """What became of calls, as counted and logged."""
+    """Outcome of a call in admission; the values are counter names and log fields."""
 
     REPEAT = "repeats"
     ADMITTED = "admitted"
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """What admission goes by.
+    """Settings of recovery admission.
 
-    `idempotency_window_ms`: for so long after a start an idempotent call may be the repeat of one whose key
-    its scorer lost.
+    For `idempotency_window_ms` after a start, an idempotent call may repeat an earlier one whose key its
+    scorer has lost.
     """
 
     classes: Mapping[str, ClassSpec]
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, eq=False)
 class _WaitingCall:
-    """One call that was not admitted at once, to its end."""
+    """A call that was not admitted at once, tracked until it ends."""
 
     key: str
     call: Call
@@ -75,17 +75,17 @@
     retry_timer: Timer | None = None
     awaits_permit: bool = False
     admitted: bool = False
-    sink_key: str | None = None  # as the request sink knows it
+    sink_key: str | None = None  # its key in the request sink
 
 
 @dataclass(slots=True)
 class _FunctionRate:
     since_ms: float
-    weight: float = 0.0  # of all calls since
+    weight: float = 0.0  # total priority weight of the calls since then
 
 
 class RecoveryAdmission:
-    """Owns the calls that wait here for a copy, a permit or a turn; takes and withdraws as the table does."""
+    """Admits, delays or rejects calls; a request sink that holds calls waiting for a copy or a permit."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         self._clock = clock
         self._claims = claims or NoClaims()
         self._started_ms = clock()
-        self.open = False  # calm: all is passed on as it comes
+        self.open = False  # True in normal operation: every call is passed on
         self.rate_limiter = AdmissionRateLimiter(settings.limits, refilled_ms=clock())
         self.counts = Counter[AdmissionOutcome]()
         self._recent_counts = Counter[AdmissionOutcome]()
@@ -122,7 +122,7 @@
             self._recent_counts[outcome] += 1
 
     def take_recent_counts(self) -> dict[str, int]:
-        """What became of calls since the last such call, and how many wait now; empty where none came."""
+        """Return outcome counts since the previous call of this, and the waiting calls; empty if idle."""
         recent, self._recent_counts = self._recent_counts, Counter()
         if not recent:
             return {}
@@ -131,9 +131,9 @@
         return counts
 
     def apply(self, allowed: AllowedActions, rate_ps: float, issuer: PermitIssuer | None) -> None:
-        """Go by what is allowed now; to be called at each change.
+        """Apply the current permissions; call this at each change.
 
-        `rate_ps` is how many calls a second are admitted here.
+        `rate_ps` is the number of calls per second to admit at this front end.
         """
         self._allowed = allowed
         self._issuer = issuer
@@ -148,14 +148,14 @@
                 self._reject_waiting(waiting, CLASS_REJECTED_MS)
         if self.open:
             self._rates.clear()
-        if allowed.own_loads:  # the decision module orders what they need
+        if allowed.own_loads:  # the decision module now orders the copies that waiting calls need
             for function in list(self._awaiting_copy):
                 self.notify(CopyAvailable(function))
 
     # --- from the port ----------------------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """Take a call: the key of the open request, or None where it was answered at once."""
+        """Accept a call; return the key of the open request, or None if it was answered at once."""
         if self.open:
             return self.sink.take(call)
         if self._allowed.repeats and self._claims.is_repeat(call):
@@ -164,7 +164,7 @@
         return self._decide(call)
 
     def withdraw(self, key: str) -> None:
-        """Forget a call whose client waits no more."""
+        """Forget a call whose client no longer waits."""
         waiting = self._waiting.get(key) if self._waiting else None
         if waiting is None:
             self.sink.withdraw(key)
@@ -175,13 +175,13 @@
 
     @property
     def busy(self) -> bool:
-        """Whether somebody still waits for an answer."""
+        """Whether some call still waits for a reply."""
         return bool(self._waiting) or bool(getattr(self.sink, "busy", False))
 
     # --- new calls --------------------------------------------------------------------------------
 
     def _admits_class(self, class_name: str) -> bool:
-        """Whether a class is admitted; partitioned, only what is right even if all others serve it."""
+        """Whether a class is admitted; while partitioned, only if it is safe that others serve it as well."""
         if class_name not in self._allowed.classes:
             return False
         if not self._allowed.alone:
@@ -223,17 +223,17 @@
         call.reply(Rejected(self.rate_limiter.retry_after_ms(self._clock(), call.id.hex(), not_before_ms)))
 
     def _issuer_without_copy(self, function: str) -> PermitIssuer | None:
-        """The issuer to request a copy from: none is known, and the decision module may order none."""
+        """The issuer to request a copy from if no copy is known and the decision module may not order one."""
         if self._issuer is None or self._allowed.own_loads or self._issuer.place(function) is not None:
             return None
         return self._issuer
 
     def _request_copy(self, now_ms: float, issuer: PermitIssuer, call: Call) -> None:
-        """Request a copy, by the weight of the function's calls of the last seconds."""
+        """Request a copy, with the weight of the function's recent calls per second."""
         rate = self._rates.get(call.function)
         if rate is None or now_ms - rate.since_ms > RATE_MS:
             if rate is None and len(self._rates) >= MAX_RATES:
-                self._rates.clear()  # they are counted again
+                self._rates.clear()  # the rates are measured anew
             rate = self._rates[call.function] = _FunctionRate(now_ms)
         rate.weight += self._classes[call.class_name].priority_weight
         weight_ps = 1_000.0 * rate.weight / max(1_000.0, now_ms - rate.since_ms)
@@ -241,7 +241,7 @@
         issuer.request_copy(now_ms, request)
 
     def _admit_or_wait(self, now_ms: float, call: Call, max_wait_ms: float) -> str | None:
-        """Pass a call on to its copy, at once or when there is one; its class and the rate allow it."""
+        """Pass on a call that its class and the rate admit: at once, or when it has a copy and a permit."""
         key = f"d{next(self._numbers)}"
         lacks_copy = self._issuer_without_copy(call.function) is not None
         permit_wait_ms: float | None = None
@@ -271,7 +271,7 @@
         return waiting
 
     def _request_permit(self, now_ms: float, function: str, key: str) -> float | None:
-        """Request a permit for the scorer of the function's copy, as `PermitIssuer.request_permit`."""
+        """Request a permit for the scorer of the function's copy, as `PermitIssuer.request_permit` does."""
         scorer = self._issuer.place(function) if self._issuer is not None else None
         if self._issuer is None or scorer is None:
             return 0.0
@@ -283,7 +283,7 @@
         waiting.retry_timer = self._wheel.after(wait_ms, lambda: self._retry(waiting))
 
     def _retry(self, waiting: _WaitingCall) -> None:
-        """Pass a call on, or have it wait for what it lacks, or reject it if that comes too late."""
+        """Pass a waiting call on, let it wait for its copy or permit, or reject it if that comes too late."""
         now_ms = self._clock()
         function = waiting.call.function
         issuer = self._issuer_without_copy(function)
@@ -314,7 +314,7 @@
         self._reject_waiting(waiting, eta_ms)
 
     def notify(self, action: SlowStartPermit | CopyAvailable) -> None:
-        """Take what the permit issuer says about calls that wait here."""
+        """Handle the permit issuer's result for waiting calls."""
         if isinstance(action, CopyAvailable):
             for key in self._awaiting_copy.pop(action.function, ()):
                 if (waiting := self._waiting.get(key)) is not None:
@@ -336,7 +336,7 @@
             self._close(waiting)
 
     def _reject_waiting(self, waiting: _WaitingCall, not_before_ms: float) -> None:
-        """Reject a call that was never passed on, so that a retry is harmless."""
+        """Reject a call that was never passed on, so it is safe for the client to retry."""
         self._count(AdmissionOutcome.REJECTED_LATER)
         wait_ms = self.rate_limiter.retry_after_ms(self._clock(), waiting.call.id.hex(), not_before_ms)
         self._replied(waiting, Rejected(wait_ms))
@@ -346,7 +346,7 @@
             waiting.reply(outcome)
 
     def _stop_waiting(self, waiting: _WaitingCall) -> None:
-        """Cancel all that the call waits for here."""
+        """Cancel the call's timers, permit request and wait for a copy."""
         for timer in (waiting.end_timer, waiting.retry_timer):
             if timer is not None:
                 timer.cancel()
@@ -361,7 +361,7 @@
                 del self._awaiting_copy[waiting.call.function]
 
     def _close(self, waiting: _WaitingCall) -> bool:
-        """Forget a call; False where that was done before."""
+        """Forget a call; return False if it was already forgotten."""
         if self._waiting.pop(waiting.key, None) is None:
             return False
         self._waiting_bytes -= len(waiting.call.body)
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -1,6 +1,6 @@
-"""The leader's part after a power loss: members' reports, merged for the coordinator, and announcements.
+"""The leader's part of a recovery: merges the members' reports for the coordinator, and announces phases.
 
-Pure. Every member that votes keeps it, so that one that begins to lead knows what the others reported before.
+This module does no I/O. Every voter collects the reports, so a new leader knows what was reported before.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,26 +15,26 @@
 from fawnwharf.recovery_service.messages import BootReport, CallCounts, StatusReport
 from fawnwharf.zones.log_lines import ConsensusStatus
 
-SCAN_MS = 100.0  # interval of evaluating what all reported
-MIN_ZONES_TO_SKIP_ONE = 3  # from so many zones on, one zone's replicas are not waited for
+SCAN_MS = 100.0  # interval of evaluating the reports
+MIN_ZONES_TO_SKIP_ONE = 3  # with at least this many zones, the replicas of one zone are not waited for
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLists:
-    """All names by the file of members, and which of them vote and replicate; up or not."""
+    """All members in the membership file, and which of them are voters and replicas, running or not."""
 
     members: tuple[str, ...]
     voters: tuple[str, ...]
     replicas: tuple[str, ...]
     number: int = 0
     digest: str = ""
-    by_zone: tuple[tuple[str, ...], ...] = ()  # the replicas
+    by_zone: tuple[tuple[str, ...], ...] = ()  # the replicas of each zone
 
     def known_grants(self, knows: Callable[[str], bool]) -> float:
-        """The share of the replicas that know all they granted, as far as calls need them.
+        """The share of the replicas that know all their grants, as far as calls need them.
 
-        A call's replicas are of a zone each, and more than half of them make a promise: with three zones or
-        more, one zone's that don't come back are not waited for, as the others have what they granted.
+        Each replica of a call is in a different zone, and a claim needs grants of a majority of them. So with
+        three zones or more, a zone whose replicas don't return is not waited for: the others have the grants.
         """
         zones = [sum(map(knows, names)) / len(names) for names in self.by_zone if names]
         if len(zones) < MIN_ZONES_TO_SKIP_ONE:
@@ -46,8 +46,8 @@
 class LeaderTiming:
     """Durations in milliseconds."""
 
-    normal_report_valid_ms: float  # a report counts for so long in calm
-    report_valid_ms: float  # and in a recovery
+    normal_report_valid_ms: float  # how long a report is valid in normal operation
+    report_valid_ms: float  # how long it is valid during a recovery
     announce_interval_ms: float
 
 
@@ -68,7 +68,7 @@
 
 
 class _Boots(NamedTuple):
-    """Boots of the voters that reported lately, by identity, and how many did, also without a boot."""
+    """Boot ids of the voters that reported recently, and how many did, including those without a boot id."""
 
     by_voter: dict[str, str]
     reachable: int
@@ -81,17 +81,17 @@
 
 @dataclass(slots=True)
 class RecoveryLeader:
-    """Owns what members reported, and the recovery coordinator."""
+    """The members' reports, and the recovery coordinator that evaluates them."""
 
     phase_timing: PhaseTiming
     lists: MemberLists
     timing: LeaderTiming
     coordinator: RecoveryCoordinator = field(init=False)
-    term: int = 0  # 0: it does not lead
+    term: int = 0  # 0: this member does not lead
     boots: dict[str, _ReportedBoot] = field(default_factory=dict)
     reports: dict[str, _ReportedStatus] = field(default_factory=dict)
-    _unreadable_term: int = 0  # one that could not begin
-    _failures: dict[str, _ReportedFailures] = field(default_factory=dict)  # as of the last scan
+    _unreadable_term: int = 0  # a term that could not begin
+    _failures: dict[str, _ReportedFailures] = field(default_factory=dict)  # at the last scan
     _scan_due_ms: float = 0.0
     _announced: _Announcement = field(default_factory=_Announcement)
 
@@ -101,7 +101,7 @@
     # --- what members report --------------------------------------------------------------------
 
     def receive_boot(self, now_ms: float, name: str, report: BootReport) -> None:
-        """Take a member's boot; that of an earlier incarnation is dropped, as two links may reorder lines."""
+        """Record a member's boot; ignore one of an earlier incarnation, as two links may reorder messages."""
         before = self.boots.get(name)
         if before is not None and report.incarnation < before.incarnation:
             return
@@ -110,7 +110,7 @@
             self.reports.pop(name, None)
 
     def receive_status(self, now_ms: float, name: str, report: StatusReport) -> bool:
-        """Take a member's status; False where it is of an earlier incarnation."""
+        """Record a member's status; return False if it is of an earlier incarnation."""
         boot = self.boots.get(name)
         if boot is not None and report.incarnation < boot.incarnation:
             return False
@@ -118,7 +118,7 @@
         return True
 
     def update_members(self, lists: MemberLists) -> None:
-        """Go by a later file of members, and forget what others reported."""
+        """Use a later membership file, and forget the reports of removed members."""
         self.lists = lists
         kept = set(lists.members)
         self.boots = {name: boot for name, boot in self.boots.items() if name in kept}
@@ -135,11 +135,11 @@
         }
 
     def reporting(self, now_ms: float) -> int:
-        """How many front ends reported lately."""
+        """How many front ends reported recently."""
         return len(self._valid_reports(now_ms))
 
     def observe(self, now_ms: float) -> FleetObservation:
-        """All reports merged; of scorers that failed since the last scan, the largest count."""
+        """Merge all valid reports; for scorers that failed since the last scan, use the largest count."""
         by_name = self._valid_reports(now_ms)
         reports = list(by_name.values())
         loads = sum(report.loads for report in reports)
@@ -172,8 +172,8 @@
     def update_term(self, now_ms: float, status: ConsensusStatus) -> list[Effect]:
         """Begin or end a term.
 
-        One begins when the voter leads, its last decision is the fleet's last for certain, and nothing of its
-        log is undecided.
+        A term begins when the voter leads, holds the read lease, so that its last decision is the fleet's
+        last, and has no undecided log entries.
         """
         if self.term and self.term != status.term:
             self.coordinator.end_term()
@@ -190,7 +190,7 @@
         return effects
 
     def decided(self, now_ms: float, text: str) -> list[LogEvent]:
-        """Take a register that the voters decided; raises `RegisterError` for one that can't be read."""
+        """Handle a register that the voters decided; raises `RegisterError` if it can't be decoded."""
         effects = self.coordinator.decided(now_ms, text)
         boots = len(self.coordinator.register.boots)
         return [
@@ -211,7 +211,7 @@
         return _Boots(by_voter, reachable)
 
     def tick(self, now_ms: float, status: ConsensusStatus) -> list[Effect]:
-        """Have the coordinator evaluate the reports, where this member leads and that is due."""
+        """Let the coordinator evaluate the reports if this member leads and a scan is due."""
         if not self.term or self.term != status.term or now_ms < self._scan_due_ms:
             return []
         self._scan_due_ms = now_ms + SCAN_MS
@@ -224,10 +224,11 @@
         )
 
     def announcement(self, now_ms: float, status: ConsensusStatus) -> str | None:
-        """The register for all; None where that is not due, or it may not be the last one.
+        """The register to announce; None if no announcement is due or the register may be outdated.
 
-        A leader to which no majority of the voters reported, or that sees that the fleet has lost its power
-        and has not decided so yet, would announce calm to those that come back.
+        A leader does not announce without reports from a majority of the voters, nor if they show a power
+        loss of the fleet that is not decided yet. Otherwise it would announce the phase `NORMAL` to returning
+        members.
         """
         coordinator = self.coordinator
         register = coordinator.register
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -1,4 +1,4 @@
-"""The recovery store of a running front end: its folder and the boot id, on the event loop."""
+"""The recovery store of a running front end: the store folder and the boot id, used on the event loop."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -26,12 +26,12 @@
 from fawnwharf.zones.files import load_file
 from fawnwharf.zones.settings import membership_from
 
-LOCK_S = 3.0  # the writer of a killed process keeps the folder until its last job is done
-CLOSE_MS = 1_000.0  # for the last groups, and the note that it ended in order
+LOCK_S = 3.0  # lock timeout; the writer of a killed process holds the lock until its last job is done
+CLOSE_MS = 1_000.0  # timeout for writing the last groups and the mark of a clean shutdown
 
 
 def read_boot_id(path: str) -> str:
-    """The id of this boot of the machine; empty where there is none, and each start is another boot then."""
+    """The machine's boot id; empty if unavailable, and then each start counts as a new boot."""
     try:
         return Path(path).read_text().strip() if path else ""
     except OSError:
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryStoreSettings:
-    """What a recovery store is opened with."""
+    """The settings with which a recovery store is opened."""
 
     folder: str | Path
     fleet: str
@@ -51,15 +51,15 @@
 
 
 class RecoveryStore:
-    """Owns the folder's store, and how far what was found in it is trusted; a seam of the front end."""
+    """The store of a folder, and how far the recovered entries are trusted; attached to the front end."""
 
     def __init__(
         self, settings: RecoveryStoreSettings, log: LogCallback, *, fleet_is_new: bool = False
     ) -> None:
         """Read the folder; wait up to `LOCK_S` for its lock.
 
-        `fleet_is_new` is whether the fleet begins: an empty folder has lost nothing then. Raises ConfigError
-        with one line.
+        `fleet_is_new` tells that the fleet starts for the first time, so that an empty folder has lost
+        nothing. Raises ConfigError with one line.
         """
         self.boot = read_boot_id(settings.boot_file)
         self._boot_digest = s.boot_digest(self.boot)
@@ -75,15 +75,15 @@
         self.condition = StoreCondition.PARTIAL if self.doubt else StoreCondition.INTACT
         self.was_empty = found.fresh
         self.folder_incarnation = found.position.incarnation + 1
-        # By which others know this incarnation: larger than the one before, also by a clock that was set
-        # back.
+        # The number by which others know this incarnation. It exceeds the previous one even if the clock was
+        # set back.
         self.incarnation = max(
             self._recovered.incarnation + 1, self.folder_incarnation, int(unix_ms() * 1_000)
         )
         self._found_position = found.position
         self._reported_position = FolderPosition("", 0, 0)
-        self._latest_reported = (0, 0)  # incarnation and number, by others
-        self._confirmed = (0, 0)  # the same, as of when others confirmed the store
+        self._latest_reported = (0, 0)  # incarnation and number of the latest position known to others
+        self._confirmed = (0, 0)  # its value when others last confirmed the store
         self._incomplete_callbacks: list[Callable[[], None]] = []
         self._on_loop: EventLoopStore | None = None
         self._closed = False
@@ -106,17 +106,17 @@
         return ClockReading(self._boot_digest, monotonic_ms(), unix_ms())
 
     def _write_start(self, now: ClockReading) -> None:
-        """Put what this start changes; the store's first snapshot is not written yet, and will have it so."""
+        """Put the changes of this start; the store's first snapshot, not written yet, will include them."""
         for name, key in self._recovered.obsolete:
             self._put(name, key, None)
         if self._recovered.is_new_doubt:
             self.mark_incomplete(self._recovered.doubt)
         self._put(s.START, s.LAST, s.encode_entry(now, self.incarnation))
 
-    # --- life -----------------------------------------------------------------------------------
+    # --- start and stop -------------------------------------------------------------------------
 
     def attach(self, front: FrontEnd | EventLoop) -> None:
-        """Begin, on the front end's loop."""
+        """Start writing on the front end's event loop."""
         loop = front if isinstance(front, EventLoop) else front.loop
         self._on_loop = EventLoopStore(loop, self.store, self._log)
         fields = {
@@ -130,7 +130,7 @@
         self._log("recovery store read", fields)
 
     def close(self) -> None:
-        """Write what there is to disk, within `CLOSE_MS`; the folder is released in any case."""
+        """Write pending changes to disk within `CLOSE_MS`; the folder is released in any case."""
         if self._closed:
             return
         self._closed = True
@@ -140,10 +140,10 @@
             self.store.close(monotonic_ms, CLOSE_MS)
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Take a roster, as a seam; it changes nothing here."""
+        """Ignore a roster; required of every attached part."""
 
     def on_events(self, events: list[Any]) -> None:
-        """Take the decision module's events, as a seam; they change nothing here."""
+        """Ignore the decision module's events; required of every attached part."""
 
     @property
     def busy(self) -> bool:
@@ -151,43 +151,44 @@
         return False
 
     def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> StoredGrants:
-        """The storage of the front end's replica; `folder` is where its own file would be without a store."""
+        """Open the replica's grant storage; `folder` is where its own file would be without this store."""
         return StoredGrants(self, core, folder)
 
     # --- what was found -------------------------------------------------------------------------
 
     @property
     def settled(self) -> bool:
-        """Whether what was found is on disk for certain; nothing of it is reported to others before."""
+        """Whether the recovered entries are certainly on disk; they are not reported to others before."""
         return bool(self.store.core.settled)
 
     @property
     def failing(self) -> str:
-        """Why nothing is durable now; empty: it is."""
+        """Why changes are not durable now; empty if they are."""
         return str(self.store.status(monotonic_ms()).failing)
 
     def read(self, kind: StateKind) -> list[s.TrustedEntry]:
-        """What was found of a kind at the start, with its trust level by the store's condition now.
+        """The entries of a kind recovered at the start, with trust levels by the store's current condition.
 
-        A promise's value is a list as `RecoveredPromise`.
+        The value of a grant is a list with the fields of `RecoveredGrant`.
         """
         return s.read_entries(self._recovered, kind, self.condition)
 
     def release(self, kind: StateKind) -> None:
-        """Free what was found of a kind, as it is not read any more."""
+        """Free the recovered entries of a kind that will not be read any more."""
         self._recovered.entries.pop(kind, None)
 
     def position(self) -> FolderPosition:
-        """The position of this folder, for others; of incarnation 0 until it is settled."""
+        """The position of this folder, for other members; its incarnation is 0 until the store is settled."""
         position = self.store.position()
         if position.incarnation:
             self._reported_position = position
         return position
 
     def receive_position(self, position: FolderPosition) -> bool:
-        """Take a position of this folder that another member knows.
+        """Check a position of this folder that another member knows.
 
-        False: it is later than the folder, which is an older copy then; the store is incomplete from then on.
+        Returns False if the position is later than the folder, so that the folder is an older copy. The store
+        then counts as incomplete.
         """
         number = (position.incarnation, position.number)
         if position.disk_id != self._found_position.disk_id or number <= self._confirmed:
@@ -204,7 +205,7 @@
         return not reason
 
     def mark_incomplete(self, reason: str) -> None:
-        """Take the store for incomplete, also in later incarnations, until others confirm what was found."""
+        """Mark the store incomplete, also for later incarnations, until others confirm its contents."""
         self.condition = StoreCondition.PARTIAL
         self.doubt = reason
         self.complete_membership_number = 0
@@ -215,13 +216,13 @@
             callback()
 
     def on_incomplete(self, callback: Callable[[], None]) -> None:
-        """Have this called whenever the store turns out to be incomplete."""
+        """Register a callback for whenever the store turns out to be incomplete."""
         self._incomplete_callbacks.append(callback)
 
     def confirm(self) -> None:
-        """Take the store for complete, also in later incarnations, as others confirmed what was found.
+        """Mark the store complete, also for later incarnations, because others confirmed its contents.
 
-        What a replica knows of its grants is another matter.
+        This does not imply that the replica knows all its grants.
         """
         self.condition = StoreCondition.INTACT
         self.doubt = ""
@@ -236,16 +237,17 @@
     def keep(
         self, kind: StateKind, key: str, value: Any | None, committed: CommitCallback | None = None
     ) -> bool:
-        """Store an entry's value, JSON or a Struct; None deletes it.
+        """Store an entry's value, JSON or a Struct; None deletes the entry.
 
-        False: it was rejected, and nothing has changed. `committed` is called once, when it is on disk or
-        with the reason why that is unsure; where it is rejected, before this returns.
+        Returns False if the change was rejected and nothing has changed. `committed` is called once: when the
+        entry is on disk, or with the reason why that is uncertain. After a rejection it is called before this
+        returns.
         """
         rule = s.ENTRY_RULES[kind]
         data = None if value is None else s.encode_entry(self._clock(), value)
         growth = self._growth(rule, key, data)
         if data is not None and growth > 0 and self._bytes[rule.name] + growth > rule.max_total_bytes:
-            reason = f"{rule.name}: {rule.max_total_bytes} bytes in all is the most"
+            reason = f"{rule.name}: exceeds {rule.max_total_bytes} bytes in total"
         else:
             reason = self._put(rule.name, key, data)
         if reason:
@@ -259,7 +261,7 @@
         return True
 
     def _growth(self, rule: s.EntryRule, key: str, data: bytes | None) -> int:
-        """By how many bytes an entry grows."""
+        """By how many bytes an entry grows; negative if it shrinks."""
         place = (rule.name, key)
         before = self.store.core.entries.get(place)
         size = f.entry_size(place, data) if data else 0
@@ -271,24 +273,24 @@
             self._log("recovery store rejected an entry", {"why": reason})
 
     def homes(self) -> list[tuple[str, Any]]:
-        """Stored placements of sessions; no hints, as a number that is over may be another session's."""
+        """Stored placements of sessions, without hints: an expired number may belong to another session."""
         entries = self.read(StateKind.PLACEMENTS)
         return [(entry.key, entry.value) for entry in entries if entry.trust is not TrustLevel.HINT]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
-        """Store one session's placement, as `keep`."""
+        """Store one session's placement, as `keep` does."""
         return self.keep(StateKind.PLACEMENTS, key, value)
 
     def keep_complete_membership_number(self, number: int) -> None:
-        """Store that the replica knows all that it granted, by this list of members; 0: it does not."""
+        """Store that the replica knows all its grants under this membership version; 0: it does not."""
         self.complete_membership_number = number
         data = s.encode_entry(self._clock(), number) if number else None
         self._put(s.COMPLETE, s.LAST, data)
 
     def when_committed(self, callback: CommitCallback) -> None:
-        """Have this called once: when all that was put before is on disk, or with why that is unsure.
+        """Call back once: when all earlier changes are on disk, or with the reason why that is uncertain.
 
-        While the disk fails it is called at once.
+        While the disk fails, the callback runs at once.
         """
         self._tickets += 1
         reason = self._put(s.COMMIT_TICKET, s.LAST, msgspec.json.encode(self._tickets), callback)
@@ -296,7 +298,7 @@
             callback(False, reason)
 
     def _put(self, name: str, key: str, data: bytes | None, committed: CommitCallback | None = None) -> str:
-        """Why it was rejected; empty: it was not."""
+        """Put a change; return why it was rejected, or an empty string."""
         if self._closed:
             return "closed"
         value = None if data is None else msgspec.Raw(data)
@@ -313,7 +315,7 @@
 def open_recovery_store(
     deployment: Deployment, settings_path: str, state_path: str, log: LogCallback, *, fleet_is_new: bool
 ) -> RecoveryStore:
-    """Open a front end's store by the settings of recovery and of replicated state. Raises ConfigError."""
+    """Open a front end's store with the settings of recovery and of replicated state; raises ConfigError."""
     settings = load_file(Path(settings_path), settings_from, "recovery")
     state = load_file(Path(state_path), state_settings, "state")
     members = load_file(Path(state_path).parent / state.membership_file, membership_from, "state")
--- a/fawnwharf/recovery_service/request_sink.py
+++ b/fawnwharf/recovery_service/request_sink.py
@@ -1,4 +1,4 @@
-"""The interface between the clients' port and the request table: what takes calls and withdraws them."""
+"""The interface between the client port and the request table."""
 
 from typing import Protocol
 
@@ -6,10 +6,10 @@
 
 
 class RequestSink(Protocol):
-    """What takes calls and withdraws them: the request table, or what stands before it."""
+    """Accepts and withdraws calls: the request table, or a layer in front of it."""
 
     def take(self, call: Call) -> str | None:
-        """Take a call: the key of the open request, or None where the call was answered at once."""
+        """Accept a call; return the key of the open request, or None if the call was answered at once."""
 
     def withdraw(self, key: str) -> None:
-        """Forget a request whose client waits no more."""
+        """Forget a request whose client no longer waits."""
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery in an attached front end: messages, ticks and effects between the agent and the other parts."""
+"""Recovery in a running front end: carries messages, ticks and effects between the agent and other parts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -49,7 +49,7 @@
 from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 from fawnwharf.zones.service import ZoneService
 
-DISPLAY_INTERVAL_MS = 200.0  # least time between two statuses for operators
+DISPLAY_INTERVAL_MS = 200.0  # least interval between two status updates for operators
 MAX_MESSAGES_PER_LINE = 200
 
 Receive = Callable[[float, str, RecoveryMessage], list[Effect]]
@@ -65,10 +65,10 @@
 
 
 class RunningRecovery:
-    """Owns the agent, its timer, and what is still to be sent; a client of both logs."""
+    """Runs the agent with its timer and outgoing messages; a client of the zones and replication logs."""
 
     def __init__(self, front: FrontEnd, parts: RecoveryParts, settings: Settings, write: WriteLog) -> None:
-        """Begin, on the front end's loop; its other parts are attached."""
+        """Start on the front end's event loop; the other parts must already be attached."""
         self.front = front
         self.parts = parts
         self.settings = settings
@@ -98,7 +98,7 @@
         self.integration = FrontEndIntegration(front, parts.state, settings, incarnation)
         self.integration.request_earlier_use(earlier_use)
         self.calls = CallOutcomeRecorder(self.integration.admission, site.classes, self.counters.call_ended)
-        # The port is typed for the request table itself, of which it uses what a request sink has.
+        # The port's annotation names the request table, but it uses only the methods of a request sink.
         front.client_port.requests = cast(RequestTable, self.calls)
         parts.zones.log_clients[RECOVERY] = self
         parts.state.log_clients[LOG_CLIENT] = self.on_replication_message
@@ -127,7 +127,7 @@
         self._log.write("recovery enabled", fields)
 
     def close(self) -> None:
-        """Stop; calls that are open here may still be withdrawn, by their keys."""
+        """Stop; open calls may still be withdrawn by their keys."""
         if self._stopped:
             return
         self._stopped = True
@@ -142,13 +142,13 @@
     # --- rosters, events and hints --------------------------------------------------------------
 
     def update_roster(self) -> None:
-        """Take the roster that the change log sent in this incarnation."""
+        """Handle a roster that the change log sent in this incarnation."""
         self._roster_received = True
         self.roster.update(Fleet(list(self.front.roster_overlay.members.values()), True))
         self.integration.update_roster()
 
     def events(self, events: list[io.Event]) -> None:
-        """Take a batch of the decision module's events."""
+        """Handle a batch of the decision module's events."""
         if self._stopped:
             return
         now_ms = monotonic_ms()
@@ -161,9 +161,9 @@
         self.integration.events(now_ms, events)
 
     def _use_earlier_roster(self) -> None:
-        """Try the scorers of the last roster, as there is no change log and no roster of the start.
+        """Use the scorers of the stored roster, because no roster arrived since the start.
 
-        All count as just started.
+        All of them count as just started.
         """
         self._earlier_roster_tried = True
         if self.front.roster_overlay.members:
@@ -188,7 +188,7 @@
             self.parts.store.keep(StateKind.USAGE, ENTRY_KEY, use)
 
     def _confirm_store(self) -> None:
-        """Take the store for complete again once others have confirmed it, and the fleet is calm."""
+        """Mark the store complete again once other members have confirmed it; used in normal operation."""
         if self.agent.store_confirmed():
             self.parts.store.confirm()
             self._log.write("recovery store confirmed", {})
@@ -196,12 +196,12 @@
     # --- the logs -------------------------------------------------------------------------------
 
     def on_messages(self, sender: str, words: tuple[Any, ...], _standing: Any) -> None:
-        """Take messages of a member's zones' log."""
+        """Handle messages from the zones log of a member."""
         for data in words:
             self._receive(sender, data, self.agent.receive_by_zones)
 
     def on_replication_message(self, _now_ms: float, sender: str, _incarnation: int, data: Any) -> None:
-        """Take a message of a member's replication log."""
+        """Handle a message from the replication log of a member."""
         self._receive(sender, data, self.agent.receive_by_replication)
 
     def _receive(self, sender: str, data: Any, receive: Receive) -> None:
@@ -219,11 +219,11 @@
         self._carry_out(effects)
 
     def on_register_decided(self, text: str) -> None:
-        """Take a recovery register that the consensus log decided."""
+        """Handle a recovery register that the consensus log decided."""
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
     def on_role_changed(self) -> None:
-        """Take that the voter may have begun or ceased to lead."""
+        """Handle that the local voter may have gained or lost the leadership."""
         if self._stopped:
             return
         effects = self.agent.update_term(monotonic_ms())
@@ -231,7 +231,7 @@
             self._carry_out(effects)
 
     def on_membership_changed(self) -> None:
-        """Go by a later list of members."""
+        """Use a later membership."""
         self._carry_out(self.agent.update_members(monotonic_ms(), self._status.member_lists()))
 
     # --- ticks and effects ----------------------------------------------------------------------
@@ -297,7 +297,7 @@
     # --- what is sent ---------------------------------------------------------------------------
 
     def _send(self, effect: SendMessage) -> None:
-        """Send by the zones' log at the end of the loop's iteration, or by the replication log at once."""
+        """Send through the zones log at the end of the loop iteration, or the replication log at once."""
         message = msgspec.to_builtins(effect.message)
         if effect.by_zones:
             self._messages.append(ClientMessage(message, effect.to, RECOVERY))
@@ -306,7 +306,7 @@
             self.parts.state.send_message(LOG_CLIENT, effect.to, message)
 
     def flush(self) -> None:
-        """Send what was gathered in this iteration of the loop, in its order."""
+        """Send the messages of this event loop iteration, in order."""
         messages, self._messages = self._messages, []
         if self._stopped:
             return
@@ -314,10 +314,10 @@
             self.parts.zones.send_messages(messages[start : start + MAX_MESSAGES_PER_LINE])
 
     def _display(self) -> None:
-        """Publish the status for operators, where it has changed."""
+        """Publish the status for operators if it has changed and an update is due."""
         now_ms = monotonic_ms()
         if self._stopped or now_ms - self._displayed_ms < DISPLAY_INTERVAL_MS:
-            return  # the next tick does
+            return  # a later tick publishes it
         displayed = displayed_status(self.agent, now_ms)
         if displayed != self.displayed:
             self.displayed = displayed
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -1,4 +1,4 @@
-"""Recovery as a part of a front end, at the seam where such parts are attached."""
+"""Recovery as an attachable part of a front end."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -15,14 +15,14 @@
 
 
 class RecoveryService:
-    """Owns this front end's part in recoveries, from when it is attached; a seam of the front end."""
+    """Runs recovery on a front end from `attach` until `close`."""
 
     def __init__(
         self, deployment: Deployment, path: str | Path, write: WriteLog, parts: Mapping[str, Any]
     ) -> None:
-        """Read and check the settings; raise ConfigError with one line.
+        """Read and check the settings; raises ConfigError with one line.
 
-        `parts` has the other parts by name, of which `zones`, `kept` and `state` have to be there already.
+        `parts` has the other parts by name and must already contain `zones`, `kept` and `state`.
         """
         self.deployment = deployment
         self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
@@ -31,21 +31,21 @@
         self._write = write
 
     def attach(self, front: FrontEnd) -> None:
-        """Begin, on the front end's loop; the parts before this one are attached."""
+        """Start on the front end's event loop; the parts it uses must already be attached."""
         self.running = RunningRecovery(front, self.parts, self.settings, self._write)
 
     def close(self) -> None:
-        """Stop; what is open may still be withdrawn."""
+        """Stop; open calls may still be withdrawn."""
         if self.running is not None:
             self.running.close()
 
     def on_fleet(self, _fleet: Fleet) -> None:
-        """Take a roster of the change log, as the front end's overlay has it."""
+        """Handle a roster from the change log; it is read from the front end's roster overlay."""
         if self.running is not None:
             self.running.update_roster()
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Take a batch of the decision module's events."""
+        """Handle a batch of the decision module's events."""
         if self.running is not None:
             self.running.events(events)
 
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -1,7 +1,7 @@
-"""The operators' file that joins recovery to a front end, `deploy/recovery.json`. Pure.
+"""The settings file that enables recovery on a front end, `deploy/recovery.json`.
 
-JSON, taken whole or not at all; a malformed one raises SettingsFileError, whose text names the key. The names
-of the fields are the keys of the file. Durations are milliseconds.
+The file is JSON and accepted or rejected as a whole; a malformed file raises SettingsFileError, whose text
+names the key. The names of the fields are the keys of the file. Durations are in milliseconds.
 """
 
 from typing import Annotated, Any
@@ -25,7 +25,7 @@
 
 
 class TimingSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """How the recovery phases are left, as `phases.PhaseTiming`. The leader's count for the fleet."""
+    """When the recovery phases end, as in `phases.PhaseTiming`; the leader's values apply to the fleet."""
 
     listen_ms: DurationMs = 3_000.0
     window_ms: DurationMs = 13_500.0
@@ -40,39 +40,39 @@
 
     @property
     def of_phases(self) -> phases.PhaseTiming:
-        """The same for the recovery core."""
+        """The same settings in the recovery core's type."""
         return phases.PhaseTiming(**msgspec.structs.asdict(self))
 
 
 class PaceSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Intervals of queries and of messages."""
 
-    again_ms: DurationMs = 200.0  # a query without an answer is sent again
+    again_ms: DurationMs = 200.0  # a query without an answer is sent again after this
     spread_ms: DurationMs = 200.0  # front ends that start together spread their queries over this
-    stand_ms: DurationMs = 200.0  # a front end reports its status to the leader
-    stage_ms: DurationMs = 300.0  # the leader announces the phase
+    stand_ms: DurationMs = 200.0  # interval of a front end's status reports to the leader
+    stage_ms: DurationMs = 300.0  # interval of the leader's announcements
 
     @property
     def of_queries(self) -> queries.QueryPace:
-        """The same for the recovery core."""
+        """The same settings in the recovery core's type."""
         return queries.QueryPace(self.again_ms, self.spread_ms)
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The one file that switches recovery on."""
+    """The whole settings file."""
 
     version: int
-    folder: Annotated[str, Meta(min_length=1, max_length=1024)]  # relative: from the settings' own folder
-    fetches: Annotated[int, Meta(ge=1, le=1_000_000)]  # concurrent loads that the model store takes well
-    scorer_rps: Annotated[float, Meta(gt=0.0, le=1e6)]  # what a warm scorer is sent in calm
-    boot_file: Annotated[str, Meta(max_length=1024)] = BOOT_FILE  # has the boot id; empty: there is none
+    folder: Annotated[str, Meta(min_length=1, max_length=1024)]  # relative to the folder of this file
+    fetches: Annotated[int, Meta(ge=1, le=1_000_000)]  # concurrent loads that the model store supports
+    scorer_rps: Annotated[float, Meta(gt=0.0, le=1e6)]  # calls per second to a warm scorer normally
+    boot_file: Annotated[str, Meta(max_length=1024)] = BOOT_FILE  # file with the boot id; empty: none
     store: StoreSettings = StoreSettings()
     timing: TimingSettings = TimingSettings()
     pace: PaceSettings = PaceSettings()
 
 
 def settings_from(data: bytes | Any) -> Settings:
-    """Read the settings from JSON or what it was decoded to; raise SettingsFileError for malformed ones."""
+    """Parse the settings from JSON or decoded JSON; raises SettingsFileError if they are malformed."""
     settings = _converted(data)
     _check_store(settings.store)
     if settings.timing.valid_ms > settings.timing.alone_ms:
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -1,4 +1,4 @@
-"""A simulated front end: the real decision module, with or without the real admission, gate and permits."""
+"""A simulated front end with the real decision module, and optionally real admission, gate and permits."""
 
 from collections.abc import Callable
 from functools import partial
@@ -18,11 +18,11 @@
 from fawnwharf.recovery_service.request_sink import RequestSink
 from fawnwharf.recovery_service.simulated_scorers import LANES, EventQueue, SimulatedScorers
 
-DECIDE_MS = 0.5  # events of so long are one batch of the decision module
+DECIDE_MS = 0.5  # events within this time form one batch for the decision module
 
 
 class Network(Protocol):
-    """What carries a front end's actions to the others."""
+    """Carries a front end's actions to the other front ends."""
 
     def carry_out(self, front_end: "SimulatedFrontEnd", actions: list[Action]) -> None:
         """Carry out actions of permit issuing."""
@@ -32,7 +32,7 @@
 
 
 class RequestTable:
-    """A small request table between admission and the decision module."""
+    """A simple request table between admission and the decision module."""
 
     def __init__(
         self, settings: io.Settings, queue: EventQueue, scorers: SimulatedScorers, number: int
@@ -48,7 +48,7 @@
         self._count = 0
 
     def notify(self, event: io.Event) -> None:
-        """Hand the decision module an event with its next batch."""
+        """Add an event to the decision module's next batch."""
         if not self._inbox:
             self._queue.after(DECIDE_MS, self._decide)
         self._inbox.append(event)
@@ -73,7 +73,7 @@
             call.reply(Failed())
 
     def take(self, call: Call) -> str:
-        """Take a call, as the real table."""
+        """Accept a call, as the real table does."""
         self._count += 1
         key = f"r{self._count}"
         self.open[key] = call
@@ -123,7 +123,7 @@
 
 
 class SimulatedFrontEnd:
-    """One front end: a request table and the decision module, alone."""
+    """A front end that consists only of a request table and the decision module."""
 
     def __init__(
         self, name: str, incarnation: int, settings: io.Settings, queue: EventQueue, scorers: SimulatedScorers
@@ -138,7 +138,7 @@
 
 
 class CoordinatedFrontEnd(SimulatedFrontEnd):
-    """One front end that issues permits, and admits calls by them."""
+    """A front end that also issues permits and admits calls by them."""
 
     def __init__(
         self,
@@ -168,10 +168,10 @@
         self.issuer.scorer_seen(now_ms, scorer, now_ms - up_ms)
 
     def set_reachable(self, now_ms: float, names: list[str], allowed: AllowedActions) -> None:
-        """Take which front ends are reachable, and what is allowed."""
+        """Set the reachable front ends and the permissions."""
         self.issuer.update(now_ms, names, names, allowed, 1)
         self.gate.apply(allowed, self.issuer)
 
     def set_admitted_rate(self, allowed: AllowedActions, rate_ps: float) -> None:
-        """Set what is admitted, in calls a second."""
+        """Set the admitted rate, in calls per second."""
         self.admission.apply(allowed, rate_ps, self.issuer)
--- a/fawnwharf/recovery_service/simulated_scorers.py
+++ b/fawnwharf/recovery_service/simulated_scorers.py
@@ -1,4 +1,4 @@
-"""Simulated scorers, their model store, and the event queue in virtual time, for `simulation.py`."""
+"""Simulated scorers, their model store, and an event queue in virtual time, for `simulation.py`."""
 
 import heapq
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import FleetLimits
 
-LANES = 8  # of one copy
-MAX_LOADS = 4  # of one scorer at a time
-STORE_FETCHES = 4  # that the model store serves at a time
-FETCH_SHARE = 0.6  # of a load's time that is the fetch
+LANES = 8  # lanes of one copy
+MAX_LOADS = 4  # concurrent loads of one scorer
+STORE_FETCHES = 4  # concurrent fetches of the model store
+FETCH_SHARE = 0.6  # share of a load's time that is the fetch
 SCORER_RPS = 12.0
-DOWN_MS = 3_000.0  # of a scorer that failed
+DOWN_MS = 3_000.0  # how long a failed scorer is down
 LOAD_RETRY_MS = 20.0
 ANSWER_MS = 1.0
 
@@ -21,7 +21,7 @@
 
 
 class EventQueue:
-    """Owns the virtual time and what is planned."""
+    """The virtual clock and the scheduled calls."""
 
     def __init__(self, now_ms: float) -> None:
         self.now_ms = now_ms
@@ -29,19 +29,19 @@
         self._count = 0
 
     def after(self, delay_ms: float, call: Callable[[], object]) -> None:
-        """Plan a call; those of one moment are made in the order in which they were planned."""
+        """Schedule a call; calls with the same time run in the order in which they were scheduled."""
         self._count += 1
         heapq.heappush(self._heap, (self.now_ms + delay_ms, self._count, call))
 
     def run(self, until_ms: float) -> None:
-        """Make all calls before a time."""
+        """Run all calls that are due before a time."""
         while self._heap and self._heap[0][0] < until_ms:
             self.now_ms, _, call = heapq.heappop(self._heap)
             call()
 
 
 class ModelStore:
-    """Owns the fetches: some are served at a time, the others wait."""
+    """Serves a limited number of concurrent fetches; the others wait."""
 
     def __init__(self, queue: EventQueue) -> None:
         self._queue = queue
@@ -51,7 +51,7 @@
         self.by_second: dict[int, int] = {}
 
     def fetch(self, load_ms: float) -> float:
-        """Begin a fetch; return when its load begins."""
+        """Start or queue a fetch; return when its load begins."""
         now_ms = self._queue.now_ms
         second = int(now_ms / 1_000)
         self.by_second[second] = self.by_second.get(second, 0) + 1
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionTimes:
-    """One function: its class, and how long its loads and calls take."""
+    """One function's class, and the durations of its loads and calls."""
 
     class_name: str
     load_ms: float
@@ -85,10 +85,10 @@
     lanes_free_ms: dict[str, list[float]] = field(default_factory=dict)  # heaps by function
     loading: dict[str, list[Answered]] = field(default_factory=dict)
     fetching: int = 0
-    sent_ms: list[float] = field(default_factory=list)  # calls of the last window
+    sent_ms: list[float] = field(default_factory=list)  # times of the calls in the last window
 
     def fail(self, now_ms: float) -> None:
-        """Lose everything; it is up again after `DOWN_MS`."""
+        """Lose all copies and loads; the scorer is up again after `DOWN_MS`."""
         self.up_ms = now_ms + DOWN_MS
         self.incarnation += 1
         self.lanes_free_ms = {}
@@ -97,12 +97,12 @@
         self.sent_ms = []
 
     def copies(self, function: str) -> int:
-        """How many copies it has."""
+        """The number of copies of a function."""
         return len(self.lanes_free_ms.get(function, ())) // LANES
 
 
 class SimulatedScorers:
-    """Owns all scorers: calls, orders to load, and failures while they warm up."""
+    """All scorers: their calls, load orders, and failures while they warm up."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         functions: dict[str, FunctionTimes],
         came_up: Callable[[SimulatedScorer], None],
     ) -> None:
-        """`came_up` is called whenever a scorer is up."""
+        """`came_up` is called whenever a failed scorer is up again."""
         self.queue = queue
         self.scorers = scorers
         self.store = ModelStore(queue)
@@ -122,7 +122,7 @@
         self._came_up = came_up
 
     def ages_ms(self) -> list[float]:
-        """For how long each scorer that is up is so."""
+        """How long each running scorer has been up, in milliseconds."""
         now_ms = self.queue.now_ms
         return [now_ms - scorer.up_ms for scorer in self.scorers if scorer.up_ms <= now_ms]
 
@@ -131,7 +131,7 @@
         return [scorer.number for scorer in self.scorers if scorer.up_ms <= self.queue.now_ms]
 
     def run_call(self, number: int, function: str, ended: Answered) -> None:
-        """Run a call, unless the scorer is down, fails of it, or has no copy."""
+        """Run a call, unless the scorer is down, has no copy, or fails because of the call."""
         scorer = self.scorers[number]
         now_ms = self.queue.now_ms
         age_ms = now_ms - scorer.up_ms
@@ -145,7 +145,7 @@
             self._run(scorer, function, ended)
 
     def _overloads(self, scorer: SimulatedScorer, age_ms: float) -> bool:
-        """Count a call to a warming scorer; whether these are more than it can take."""
+        """Count a call to a warming scorer; return whether the calls exceed its capacity."""
         now_ms = self.queue.now_ms
         limits = self._limits
         scorer.sent_ms = [at_ms for at_ms in scorer.sent_ms if at_ms > now_ms - limits.fall_ms]
@@ -175,7 +175,7 @@
         self.queue.after(DOWN_MS, lambda: self._came_up(scorer))
 
     def order(self, number: int, function: str, copies: int, ended: Answered) -> None:
-        """Load a copy where there are fewer than `copies`; 0 asks how many there are."""
+        """Load a copy if the scorer has fewer than `copies`; 0 queries the number of copies."""
         scorer = self.scorers[number]
         if scorer.up_ms > self.queue.now_ms:
             self.queue.after(ANSWER_MS, lambda: ended(io.AttemptResult.CONNECT_FAILED, 0))
@@ -190,7 +190,7 @@
             self._load(scorer, function, scorer.incarnation)
 
     def _load(self, scorer: SimulatedScorer, function: str, incarnation: int) -> None:
-        """Load at once if the scorer may load one more, else again a little later."""
+        """Start the load if the scorer may run one more, or try again later."""
         if scorer.incarnation != incarnation:
             return
         if scorer.fetching >= MAX_LOADS:
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -1,11 +1,13 @@
-"""All clients at once at front ends that have just returned, in virtual time.
+"""Simulates a burst of calls from all clients to front ends that have just restarted, in virtual time.
 
-`python -m fawnwharf.recovery_service.simulation [pairs]` runs pairs with load coordinators, slow start
-coordinators and admission, and with the decision module alone, and prints means and differences.
+`python -m fawnwharf.recovery_service.simulation [pairs]` runs pairs of simulations. One run of each pair uses
+load coordinators, slow start coordinators and admission; the other uses only the decision module. It prints
+means and differences.
 
-Real are the decision module, `PermitIssuer`, `RecoveryAdmission` and `LoadOrderGate`; simplified are scorers,
-the store and messages (1 to 5 ms). Left out: the claim gate, zones, phases (the last before renewal holds all
-the time), that a loaded store slows down, and scorers' queues beyond their lanes.
+The decision module, `PermitIssuer`, `RecoveryAdmission` and `LoadOrderGate` are the real ones. Scorers, the
+model store and messages (1 to 5 ms) are simplified. Not simulated are the claim gate, zones, most phases
+(`RETRIES` until the burst, then `ALL_CALLS`), the slowdown of a loaded store, and scorers' queues beyond
+their lanes.
 """
 
 import random
@@ -41,13 +43,13 @@
 STEADY_RPS = 60.0
 BEGIN_MS = 10_000.0
 BURST_MS = 13_000.0
-CALLS = 240  # of the burst
+CALLS = 240  # in the burst
 STEADY_SECONDS = 20
-ATTEMPTS = 3  # of a client, at most
+ATTEMPTS = 3  # most attempts of a client for one call
 END_MS = 33_000.0
 WHEEL_MS = 4.0
 
-STUDENT_T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # by pairs
+STUDENT_T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # two-sided 95 % quantiles by number of pairs
 
 Figures = dict[str, float]
 
@@ -68,7 +70,7 @@
 
 
 class Simulation:
-    """One run."""
+    """One simulation run."""
 
     def __init__(self, seed: int, *, coordinated: bool) -> None:
         self.queue = EventQueue(BEGIN_MS)
@@ -225,7 +227,7 @@
 
 
 def figures(run: Simulation) -> Figures:
-    """What is compared."""
+    """The figures of one run that are compared."""
     store = run.scorers.store
     return {
         "fetches, worst second": max(store.by_second.values(), default=0),
@@ -240,7 +242,7 @@
 
 
 def main(pairs: int) -> None:
-    """Run the pairs and print means, differences with their 95 % intervals, and the worst."""
+    """Run the pairs; print means, differences with 95 % confidence intervals, and worst values."""
     seeds = range(1, pairs + 1)
     alone = [figures(Simulation(seed, coordinated=False).run()) for seed in seeds]
     coordinated = [figures(Simulation(seed, coordinated=True).run()) for seed in seeds]
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -1,4 +1,4 @@
-"""An agent's status for operators: written to its member's zones' log, read by `fawnwharf recovery show`."""
+"""An agent's status for operators: written to the zones log, read by `fawnwharf recovery show`."""
 
 from fawnwharf.recovery_core.queries import QueryTopic
 from fawnwharf.recovery_service.agent import RecoveryAgent
@@ -33,7 +33,7 @@
 
 
 def _phase_source(agent: RecoveryAgent, now_ms: float) -> str:
-    """By what the agent follows its phase."""
+    """Where the agent's phase comes from."""
     if agent.phase(now_ms) is None:
         return "no leader"
     if agent.follower.register is None:
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -1,9 +1,9 @@
-"""A replica's grants, on disk before they are sent: replaces `GrantLogStorage` where there is a store.
+"""Stores a replica's grants on disk before they are sent; replaces `GrantLogStorage` if there is a store.
 
-All that comes to the replica's claim store is stored. A reply that says 'granted', and a call of this front
-end's own that may run by its own replica's grant, wait for a commit ticket; all else goes at once. A grant
-whose ticket ends unsure is never sent, and still rejects others as if it had been: it may be found on the
-disk later.
+Every claim in the replica's claim store is stored. Two kinds of effects wait for a commit ticket: replies
+that grant a claim, and local calls that run by the grant of the local replica. All other effects are
+carried out at once. If it is uncertain whether a grant is on disk, the grant is never sent, but it still
+excludes other claims, as it may be found on the disk later.
 """
 
 import contextlib
@@ -28,46 +28,46 @@
 from fawnwharf.replication.replica import Replica
 
 SWEEP_MS = 1_000.0  # interval of deleting expired entries
-OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
-UNCERTAIN = -1  # as the stored list: it has to be written again
+OTHER_BOOT_AGE_MS = 3_000_000.0  # assumed age of entries of another boot, as the downtime is unknown
+UNCERTAIN = -1  # stored membership number is unknown and has to be written again
 
 Later = Callable[[list[OwnerAction]], None]
 
 
 class GrantStore(Protocol):
-    """The store, as it is used here: `RecoveryStore`."""
+    """The methods of `RecoveryStore` that are used here."""
 
     complete_membership_number: int
     doubt: str
 
     @property
     def failing(self) -> str:
-        """Why nothing is durable now; empty: it is."""
+        """Why changes are not durable now; empty if they are."""
 
     def read(self, kind: StateKind) -> list[TrustedEntry]:
-        """What was found of a kind."""
+        """The recovered entries of a kind."""
 
     def release(self, kind: StateKind) -> None:
-        """Free what was found of a kind."""
+        """Free the recovered entries of a kind."""
 
     def keep(self, kind: StateKind, key: str, value: Any | None) -> bool:
-        """Store an entry; False where it is rejected."""
+        """Store an entry; return False if it is rejected."""
 
     def keep_complete_membership_number(self, number: int) -> None:
-        """Store by which list of members the replica knows all that it granted."""
+        """Store under which membership version the replica knows all its grants; 0: under none."""
 
     def when_committed(self, callback: Callable[[bool, str], None]) -> None:
-        """Have this called once all that was stored before is on disk."""
+        """Call back when all earlier changes are on disk, or when that has become uncertain."""
 
     def mark_incomplete(self, reason: str) -> None:
-        """Take the store for incomplete."""
+        """Mark the store incomplete."""
 
     def on_incomplete(self, callback: Callable[[], None]) -> None:
-        """Have this called whenever the store turns out to be incomplete."""
+        """Register a callback for whenever the store turns out to be incomplete."""
 
 
 class CommitEvent(StrEnum):
-    """What is counted of stored promises."""
+    """Counted events of stored grants; the values name the counters."""
 
     REJECTED = "rejected by the store"
     COMMITTED = "on disk"
@@ -81,37 +81,38 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingCommit:
-    """What waits for one ticket: effects in their order, and the own calls whose grants it has."""
+    """What waits for one commit ticket: effects in order, and the local calls whose grants it covers."""
 
     effects: list[OwnerAction] = field(default_factory=list)
     own_calls: dict[str, int] = field(default_factory=dict)  # number of the claim request, by key
 
 
 class _OpenCall(NamedTuple):
-    """An own call whose grant is not on disk yet."""
+    """A local call whose grant is not on disk yet."""
 
     request_number: int
     commit: _PendingCommit
 
 
 class StoredGrants:
-    """Owns what of a replica's claim store is in the recovery store, and what waits until it is on disk."""
+    """Writes a replica's claims to the recovery store, and holds back effects until they are on disk."""
 
     def __init__(self, store: GrantStore, core: ReplicationCore, folder: Path | None = None) -> None:
-        """Restore the claim store; the replica grants at once where this is all it granted for certain.
+        """Restore the claim store; the replica grants at once if these are certainly all its grants.
 
-        `folder` is where an incarnation without a recovery store would have left a file; one that is there
-        makes the store incomplete.
+        `folder` is where an incarnation without a recovery store would have left a file. Such a file makes
+        the store incomplete.
         """
         self._store = store
         self._core = core
         self._replica = _replica_of(core)
-        self._claims: dict[str, _StoredClaim] = {}  # by entry
+        self._claims: dict[str, _StoredClaim] = {}  # by key of the entry
         self._expiry: list[tuple[float, str]] = []  # heap
         self._open_calls: dict[str, _OpenCall] = {}
-        self._incomplete_commit: _PendingCommit | None = None  # until it is on disk that not all is known
+        # Set until it is on disk that the replica does not know all its grants.
+        self._incomplete_commit: _PendingCommit | None = None
         self._sweep_due_ms = 0.0
-        self._unstored_until_ms = 0.0  # until then a claim counts that the recovery store rejected
+        self._unstored_until_ms = 0.0  # when the last claim that the recovery store rejected expires
         self.counts = Counter[CommitEvent]()
         store.on_incomplete(self._store_incomplete)
         self._move_files_aside(folder)
@@ -125,7 +126,7 @@
         self.summary = {"calls": len(claims.calls), "trusted": trusted, "why": store.doubt}
 
     def _move_files_aside(self, folder: Path | None) -> None:
-        """Guard against incarnations without the store in between: what they granted is not in it."""
+        """Mark the store incomplete if an incarnation ran without it, as it lacks that one's grants."""
         files = sorted(folder.glob("keeper-*.log")) if folder is not None else []
         if not files:
             return
@@ -139,7 +140,7 @@
         self._store.when_committed(committed)
 
     def _restore(self, now_ms: float) -> bool:
-        """Put what was stored into the claim store; False: it had no capacity for all."""
+        """Put the stored claims into the claim store; return False if it has no capacity for all."""
         restored_all = True
         for entry in self._store.read(StateKind.GRANT):
             if entry.trust is TrustLevel.NOW:
@@ -153,7 +154,7 @@
         age_ms = OTHER_BOOT_AGE_MS
         if promise.since_ms is not None:
             age_ms = min(OTHER_BOOT_AGE_MS, promise.age_ms + promise.since_ms)
-        else:  # from now on it counts by this boot's clock
+        else:  # store it again with times of this boot's clock
             self._store.keep(StateKind.GRANT, name, [promise.remaining_ms, age_ms, claim])
         claims = self._replica.claim_store
         entry = claims.get_or_create(now_ms, key)
@@ -169,17 +170,17 @@
         heapq.heappush(self._expiry, (until_ms, name))
 
     def _store_incomplete(self) -> None:
-        """Have the replica learn again, as the store turned out to be incomplete."""
+        """Let the replica fetch its state again, because the store turned out to be incomplete."""
         self._stored_membership_number = 0
         self._replica.mark_incomplete(monotonic_ms())
 
     def close(self) -> None:
-        """Close nothing: the recovery store is closed by its owner."""
+        """Do nothing: the recovery store is closed by its owner."""
 
     # --- what is stored -------------------------------------------------------------------------
 
     def _keep(self, now_ms: float, key: str, claim: Claim, until_ms: float) -> bool:
-        """Store a claim, without its answer where there is no room for it; False where it is rejected."""
+        """Store a claim, if need be without its answer to save space; return False if it is rejected."""
         name = f"{claim.owner}/{claim.request_number}/{key}"
         if self._claims.get(name) == (claim, until_ms):
             return True
@@ -204,20 +205,20 @@
         while self._expiry and self._expiry[0][0] <= now_ms:
             _, name = heapq.heappop(self._expiry)
             stored = self._claims.get(name)
-            if stored is not None and stored.until_ms <= now_ms:  # else it counts for longer by now
+            if stored is not None and stored.until_ms <= now_ms:  # otherwise it was extended
                 del self._claims[name]
                 self._store.keep(StateKind.GRANT, name, None)
 
     def _keep_complete_membership_number(self, now_ms: float) -> None:
-        """Store whether this replica knows all its grants, and would after a restart, if that has changed.
+        """Store whether this replica knows all its grants, and will after a restart, if that has changed.
 
-        That it does not is on disk before another replica receives anything that depends on it.
+        If it does not, that is on disk before another replica receives anything that depends on it.
         """
         replica = self._replica
         replica.storage_failed = False
         stored_all = now_ms >= self._unstored_until_ms
         number = self._core.placement.number if stored_all and replica.is_complete(now_ms) else 0
-        replica.storage_failed = bool(self._store.failing)  # nothing more is granted meanwhile
+        replica.storage_failed = bool(self._store.failing)  # the replica grants nothing while this is set
         if number == self._stored_membership_number:
             return
         self._stored_membership_number = number
@@ -227,10 +228,10 @@
     # --- what may be sent -----------------------------------------------------------------------
 
     def persist(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
-        """What may be sent and done now.
+        """Store new claims and return the effects that may be carried out now.
 
-        What depends on grants that are not on disk yet goes to `later` once they are, or as it is without
-        them.
+        Effects that depend on grants not yet on disk are passed to `later` once the grants are on disk. If
+        that remains uncertain, they are passed on without the grants.
         """
         now_ms = monotonic_ms()
         self._sweep(now_ms)
@@ -250,7 +251,7 @@
         return ready
 
     def _keep_unwritten(self, now_ms: float, commit: _PendingCommit) -> set[str]:
-        """Store the claims that are new; return the keys of those that were rejected."""
+        """Store the new claims; return the keys of those that were rejected."""
         claims = self._replica.claim_store
         unwritten, claims.unwritten = claims.unwritten or [], []
         rejected: set[str] = set()
@@ -266,7 +267,7 @@
         return rejected
 
     def _hold_back(self, effect: OwnerAction, commit: _PendingCommit, rejected: set[str]) -> bool:
-        """Have an effect wait for its ticket, where it needs one."""
+        """Let an effect wait for its commit ticket if it needs one; return whether it waits."""
         if isinstance(effect, RunCall):
             if not effect.claimed or effect.key not in self._open_calls:
                 return False
@@ -315,7 +316,7 @@
         later(effects)
 
     def _may_go(self, effect: OwnerAction, commit: _PendingCommit, on_disk: bool) -> bool:
-        """Whether an effect that waited is carried out, be it without its grant."""
+        """Whether an effect that waited is carried out, with or without its grant."""
         if isinstance(effect, RunCall):
             return on_disk and self._core.call_owner.release(effect.key, commit.own_calls.get(effect.key, 0))
         # Chunks that are not sent are requested again.
@@ -323,7 +324,7 @@
 
 
 def _replica_of(core: ReplicationCore) -> Replica:
-    """The replica of a front end that has one; raises ValueError where it has none."""
+    """Return the front end's replica; raises ValueError if it has none."""
     if core.replica is None:
-        raise ValueError(f"{core.name}: promises are stored where there is a replica")
+        raise ValueError(f"{core.name}: storing grants requires a replica")
     return core.replica
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -1,9 +1,9 @@
-"""What a front end keeps in its recovery store, and what a start recovers of what it finds there. Pure.
+"""The entries of a front end's recovery store, and their recovery at a start. Does no I/O.
 
-Every entry bears the clock's reading at which it was put. All kinds are `soon` or `hint` for the store: what
-has to be on disk before it is reported gets its commit ticket from an entry that is put after it, as a log is
-there up to some group and no further. So one ticket serves a whole iteration of the loop, and nothing is
-rejected because the disk fails.
+Every entry has the clock reading at which it was put. All kinds are DELAYED or BEST_EFFORT, except for the
+commit ticket. State that has to be on disk before it is reported waits for a commit ticket that is put after
+it: the log on disk has no gaps, so everything before the ticket is on disk, too. So one ticket serves a whole
+event loop iteration, and no entry is rejected because the disk fails.
 """
 
 import hashlib
@@ -31,7 +31,7 @@
 
 
 class EntryRule(NamedTuple):
-    """One kind's name in the store, its mode, and its bounds."""
+    """The name, durability and limits of one kind of entry."""
 
     name: str
     mode: f.Durability
@@ -40,8 +40,8 @@
     max_total_bytes: int
 
 
-# Kinds without a rule: 'where copies were' and 'load counts' would hardly ever be recent enough, and terms
-# are in the voters' file.
+# These kinds have no rule: former locations of copies and load counts would hardly ever be recent enough, and
+# terms are in the voters' file.
 ENTRY_RULES = {
     StateKind.GRANT: EntryRule("promise", f.Durability.DELAYED, 40_000, 32 * 1024, 8 * 1024 * 1024),
     StateKind.PLAN: EntryRule("plan", f.Durability.DELAYED, 16, 256 * 1024, 1024 * 1024),
@@ -59,17 +59,17 @@
 STORE_KINDS = [
     f.EntryKind(rule.name, rule.mode, rule.max_entries, rule.max_value_bytes) for rule in ENTRY_RULES.values()
 ] + [
-    # A store that is full must not forget that it is incomplete, nor reject the ticket of what it took.
+    # Reserved space: a full store must still record that it is incomplete, and accept commit tickets.
     f.EntryKind(START, f.Durability.DELAYED, 1, 256, reserved=True),
     f.EntryKind(DOUBT, f.Durability.DELAYED, 1, 4_096, reserved=True),
     f.EntryKind(COMPLETE, f.Durability.DELAYED, 1, 64, reserved=True),
     f.EntryKind(COMMIT_TICKET, f.Durability.SYNCED, 1, 64, reserved=True),
 ]
-MAX_REASON_LENGTH = 500  # characters of a reason, each of at most six bytes as JSON
+MAX_REASON_LENGTH = 500  # characters; each takes at most six bytes as JSON
 
 
 class StampedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """An entry as it is in the store; `boot` is the digest of the boot id, as each entry has it."""
+    """An entry as it is stored; `boot` is a digest of the boot id."""
 
     boot: str
     mono_ms: float
@@ -78,12 +78,12 @@
 
     @property
     def clock(self) -> ClockReading:
-        """The clock's reading at which it was put."""
+        """The clock reading at which the entry was put."""
         return ClockReading(self.boot, self.mono_ms, self.wall_ms)
 
 
 class RecoveredEntry(NamedTuple):
-    """One entry that was found."""
+    """One recovered entry."""
 
     key: str
     value: Any
@@ -91,7 +91,7 @@
 
 
 class TrustedEntry(NamedTuple):
-    """One entry that was found, and how far it may be used."""
+    """One recovered entry with its trust level."""
 
     key: str
     value: Any
@@ -99,11 +99,11 @@
 
 
 class RecoveredGrant(NamedTuple):
-    """The value of a promise's entry; the times are those that the store adds."""
+    """The value of a recovered grant; the first two times are added at recovery."""
 
-    remaining_ms: float  # at the start
-    since_ms: float | None  # for how long it had been stored at the start; None where another boot wrote it
-    age_ms: float  # when it was stored
+    remaining_ms: float  # time until it expires, as of the start
+    since_ms: float | None  # time since it was stored, as of the start; None if another boot wrote it
+    age_ms: float  # its age when it was stored
     claim: Any
 
 
@@ -115,29 +115,27 @@
 
 
 class RecoveredState(NamedTuple):
-    """What a folder is found to be."""
+    """The state recovered from a folder."""
 
-    incarnation: int  # that the one before was known by
+    incarnation: int  # number by which others knew the previous incarnation
     same_boot: bool
     closed_cleanly: bool
-    doubt: str  # why the store is incomplete; empty: it is complete
-    is_new_doubt: (
-        bool  # no earlier incarnation knew of it, so that what a replica knew of itself counts no more
-    )
-    complete_membership_number: (
-        int  # the list of members by which the replica knew all that it had granted; 0: it did not
-    )
+    doubt: str  # why the store is incomplete; empty if it is complete
+    # Whether no earlier incarnation knew this reason; then a replica may not trust its own record either.
+    is_new_doubt: bool
+    # Membership version under which the replica knew all its grants; 0: it did not know them.
+    complete_membership_number: int
     entries: dict[StateKind, list[RecoveredEntry]]
-    obsolete: list[EntryKey]  # what is over or can't be read, to be deleted
+    obsolete: list[EntryKey]  # expired or unreadable entries, to be deleted
 
 
 def boot_digest(boot: str) -> str:
-    """A boot id as entries bear it; empty where the system has none."""
+    """The digest of a boot id that entries contain; empty if the system has none."""
     return hashlib.blake2b(boot.encode(), digest_size=6).hexdigest() if boot else ""
 
 
 def encode_entry(clock: ClockReading, value: Any) -> bytes:
-    """An entry's bytes, with the time at which it is put."""
+    """Encode an entry with the clock reading at which it is put."""
     return msgspec.json.encode(
         StampedEntry(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
     )
@@ -146,10 +144,10 @@
 def recover_state(
     found: folder_reader.FolderState, now: ClockReading, limits: AgeSettings, *, fleet_is_new: bool
 ) -> RecoveredState:
-    """Evaluate what a folder has.
+    """Evaluate the contents of a folder.
 
-    `now` is of this start, its boot as `boot_digest` has it. `fleet_is_new` is whether nobody in the fleet
-    has promised anything, so that an empty folder has lost nothing.
+    `now` is the clock reading of this start, with the boot as `boot_digest` returns it. `fleet_is_new` tells
+    that nobody in the fleet has granted anything, so that an empty folder has lost nothing.
     """
     last_start = _decode_entry(found.entries.get((START, LAST), b""))
     is_same_boot = last_start is not None and same_boot(last_start.clock, now)
@@ -198,10 +196,10 @@
 def _recover_entry(
     kind: StateKind, key: str, data: bytes, now: ClockReading, limits: AgeSettings
 ) -> RecoveredEntry | None:
-    """An entry and its age; None where it can't be read.
+    """Decode an entry and determine its age; None if it can't be read.
 
-    A promise is stored as a list that begins with how long it counts. It is read with what is left of that,
-    and for how long it was stored, None where another boot wrote it.
+    A grant is stored as a list that begins with its lifetime. It is returned with its remaining lifetime and
+    the time since it was stored instead; the latter is None if another boot wrote it.
     """
     entry = _decode_entry(data)
     if entry is None:
@@ -218,7 +216,7 @@
 
 
 def _folder_doubt(found: folder_reader.FolderState, *, fleet_is_new: bool) -> str:
-    """What the folder itself says against it."""
+    """Why the folder itself shows that the store is incomplete; empty if it does not."""
     if found.repaired:
         return f"repaired: {found.repaired}"[:MAX_REASON_LENGTH]
     return "empty" if found.fresh and not fleet_is_new else ""
@@ -244,7 +242,7 @@
 
 
 def read_entries(state: RecoveredState, kind: StateKind, condition: StoreCondition) -> list[TrustedEntry]:
-    """What was found of a kind, with its trust level by the store's condition now."""
+    """The recovered entries of a kind, with trust levels by the store's current condition."""
     trusted = []
     for entry in state.entries.get(kind, ()):
         trust = _trust(kind, entry.age, state.same_boot, state.closed_cleanly, condition)
--- a/tests/recovery_service/test_recovery_service_stored_state.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -244,7 +244,7 @@
     for n in range(rule.max_total_bytes // rule.max_value_bytes + 20):
         kept.keep(StateKind.PLACEMENTS, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
-    assert told[0] == (True, "") and told[-1] == (False, "homes: 1048576 bytes in all is the most")
+    assert told[0] == (True, "") and told[-1] == (False, "homes: exceeds 1048576 bytes in total")
     assert sum(what == "recovery store rejected an entry" for what, _ in site.notes) == 1
     assert kept.keep(StateKind.PLACEMENTS, "0", None) and kept.keep(StateKind.PLACEMENTS, "new", whole)
     assert not kept.keep(StateKind.GRANT, "p", "x" * 40_000) and kept.keep(StateKind.GRANT, "p", [1.0])
