--- a/tests/recovery_service/test_recovery_service_admission.py
+++ b/tests/recovery_service/test_recovery_service_admission.py
@@ -1,4 +1,4 @@
-"""The door before the gate: one final answer each, advice that is honest, classes, repeats, tickets."""
+"""Recovery admission: one final reply for each call, Retry-After, classes, repeats and permits."""
 
 import base64
 from dataclasses import replace
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
+from support.recovery_admission import CLASSES, LIMITS, WEIGHTS, AdmissionHarness
 
 from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
 from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase
@@ -20,12 +20,12 @@
 from fawnwharf.testbed.promises import fleet_file
 
 
-def test_in_calm_all_is_passed_on_as_it_comes():
-    ground = Ground(RecoveryPhase.NORMAL, rate_ps=0.0)
-    key, got = ground.ask()
-    assert key == "r1" and got == [] and ground.issuer.wanted == []
-    ground.admission.withdraw(key)
-    assert ground.withdrawn == ["r1"] and not ground.admission.busy
+def test_normal_operation_passes_every_call_on_unchanged():
+    harness = AdmissionHarness(RecoveryPhase.NORMAL, rate_ps=0.0)
+    key, got = harness.ask()
+    assert key == "r1" and got == [] and harness.issuer.requested_copies == []
+    harness.admission.withdraw(key)
+    assert harness.withdrawn == ["r1"] and not harness.admission.busy
 
 
 @pytest.mark.parametrize(
@@ -38,150 +38,150 @@
     ],
 )
 def test_classes_are_taken_by_their_phase_and_the_rest_is_rejected_at_once(stage, passed):
-    ground = Ground(stage)
-    ground.issuer.places["f"] = 7
+    harness = AdmissionHarness(stage)
+    harness.issuer.copy_scorers["f"] = 7
     for class_name in CLASSES:
-        key, got = ground.ask(class_name)
+        key, got = harness.ask(class_name)
         assert (key is not None) == (class_name in passed) == (got == [])
         if got:
             assert isinstance(got[0], Rejected) and 1_000.0 <= got[0].hold_off_ms <= LIMITS.retry_most_ms
-    assert [call.class_name for call in ground.calls.values()] == passed
+    assert [call.class_name for call in harness.calls.values()] == passed
 
 
 def test_a_call_without_a_copy_is_requested_and_rejected_with_no_time_before_the_eta():
-    ground = Ground()
+    harness = AdmissionHarness()
     for eta_ms in (700.0, 1_500.0, 3_000.0):
-        ground.issuer.etas["f"] = eta_ms
-        advice = [ground.ask()[1][0].hold_off_ms for _ in range(20)]
+        harness.issuer.etas["f"] = eta_ms
+        advice = [harness.ask()[1][0].hold_off_ms for _ in range(20)]
         assert eta_ms <= min(advice) and max(advice) <= 1.25 * eta_ms + 1.0 and len(set(advice)) == 20
-    assert [function for function, *_ in ground.issuer.wanted] == ["f"] * 60 and ground.issuer.wanted[-1][
-        1
-    ] > 1.0
-    ground.issuer.etas["f"] = 9_000.0  # clients take no such advice
-    assert 2_000.0 <= ground.ask()[1][0].hold_off_ms <= 4_000.0
-
-
-def test_where_clients_take_no_advice_none_is_given():
-    ground = Ground(limits=replace(LIMITS, retry_most_ms=0.0))
-    ground.issuer.etas["f"] = 2_000.0
-    assert ground.ask() == (None, [Rejected(0.0)])
-
-
-def test_a_call_whose_copy_comes_within_its_promise_is_held_till_then_and_not_longer():
-    ground = Ground()
-    ground.issuer.etas["f"] = 300.0
-    key, got = ground.ask()
-    late_key, late = ground.ask(function="g")
-    assert key and ground.calls == {} and ground.admission.busy
-    ground.pass_by(250.0)
-    ground.issuer.places["f"] = 7
-    ground.admission.notify(CopyAvailable("f"))
-    [call] = ground.calls.values()
+    assert [function for function, *_ in harness.issuer.requested_copies] == [
+        "f"
+    ] * 60 and harness.issuer.requested_copies[-1][1] > 1.0
+    harness.issuer.etas["f"] = 9_000.0  # beyond the longest Retry-After
+    assert 2_000.0 <= harness.ask()[1][0].hold_off_ms <= 4_000.0
+
+
+def test_no_retry_after_is_sent_where_its_limit_is_zero():
+    harness = AdmissionHarness(limits=replace(LIMITS, retry_most_ms=0.0))
+    harness.issuer.etas["f"] = 2_000.0
+    assert harness.ask() == (None, [Rejected(0.0)])
+
+
+def test_a_call_waits_for_a_copy_that_comes_within_its_latency_target_and_no_longer():
+    harness = AdmissionHarness()
+    harness.issuer.etas["f"] = 300.0
+    key, got = harness.ask()
+    late_key, late = harness.ask(function="g")
+    assert key and harness.calls == {} and harness.admission.busy
+    harness.advance_ms(250.0)
+    harness.issuer.copy_scorers["f"] = 7
+    harness.admission.notify(CopyAvailable("f"))
+    [call] = harness.calls.values()
     assert call.budget_ms == pytest.approx(1_750.0)
     call.reply(Succeeded(b"x"))
     assert got == [Succeeded(b"x")]
-    ground.issuer.etas["g"] = 800.0  # it takes longer than was said
-    ground.pass_by(WAIT_FRACTION * 1_000.0 - 250.0 - 8.0)
+    harness.issuer.etas["g"] = 800.0  # it takes longer than expected before
+    harness.advance_ms(WAIT_FRACTION * 1_000.0 - 250.0 - 8.0)
     assert late == []
-    ground.pass_by(16.0)
-    assert late[0].hold_off_ms >= 800.0 and not ground.admission.busy
-    ground.admission.notify(CopyAvailable("g"))
-    ground.admission.withdraw(late_key)  # it crossed the answer: nothing is left to withdraw here
-    assert len(ground.calls) == 1
+    harness.advance_ms(16.0)
+    assert late[0].hold_off_ms >= 800.0 and not harness.admission.busy
+    harness.admission.notify(CopyAvailable("g"))
+    harness.admission.withdraw(late_key)  # it crossed the reply: nothing is left to withdraw
+    assert len(harness.calls) == 1
 
 
-def test_a_short_budget_is_not_held_beyond():
-    ground = Ground()
-    assert isinstance(ground.ask(budget_ms=350.0)[1][0], Rejected)
-    assert ground.ask(budget_ms=450.0)[0]
+def test_a_call_never_waits_beyond_its_budget():
+    harness = AdmissionHarness()
+    assert isinstance(harness.ask(budget_ms=350.0)[1][0], Rejected)
+    assert harness.ask(budget_ms=450.0)[0]
 
 
-def test_beyond_the_rate_each_gets_a_turn_of_its_own_and_the_priority_classes_keep_a_share():
-    ground = Ground(rate_ps=20.0)  # a burst of ten
-    ground.issuer.places["f"] = 7
-    views = [ground.ask("view") for _ in range(12)]
-    settles = [ground.ask("settle") for _ in range(12)]
+def test_calls_beyond_the_rate_get_distinct_retry_times_and_priority_classes_keep_a_share():
+    harness = AdmissionHarness(rate_ps=20.0)  # a burst of ten
+    harness.issuer.copy_scorers["f"] = 7
+    views = [harness.ask("view") for _ in range(12)]
+    settles = [harness.ask("settle") for _ in range(12)]
     let = [sum(key is not None for key, _ in asked) for asked in (views, settles)]
     assert sum(let) == 10 and 2 <= let[1] <= 4
     waits = [got[0].hold_off_ms for _, got in views + settles if got]
     assert min(waits) >= 50.0 and max(waits) <= (24 - 10 + 1) * 50.0 and len(set(waits)) == len(waits)
 
 
-def test_a_call_to_a_warming_scorer_goes_by_its_permit():
-    ground = Ground()
-    ground.issuer.places.update(f=7, g=8)
-    ground.issuer.free = {7: None, 8: 200.0}
-    key, got = ground.ask()
-    assert ground.issuer.asked == [key] and ground.calls == {}
-    other, left = ground.ask()
-    ground.admission.withdraw(other)
-    assert ground.issuer.asked == [key]
-    ground.admission.notify(SlowStartPermit(other, 0.0))
-    assert ground.calls == {}
-    ground.admission.notify(SlowStartPermit(key, 0.0))
-    assert len(ground.calls) == 1
-    ground.admission.withdraw(key)
-    ground.calls["r1"].reply(Succeeded(b"crossed"))
-    assert ground.withdrawn == ["r1"] and got == left == []
-    turn, got = ground.ask(function="g")  # not before a turn: it asks again then
-    ground.pass_by(150.0)
-    assert len(ground.calls) == 1
-    ground.issuer.free[8] = 0.0
-    ground.pass_by(60.0)
-    assert len(ground.calls) == 2 and got == []
-    ground.issuer.free[8] = 900.0
-    assert ground.ask(function="g")[1][0].hold_off_ms >= 900.0
-
-
-def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_rejects_what_is_not_taken():
+def test_a_call_to_a_warming_scorer_waits_for_its_permit():
+    harness = AdmissionHarness()
+    harness.issuer.copy_scorers.update(f=7, g=8)
+    harness.issuer.free = {7: None, 8: 200.0}
+    key, got = harness.ask()
+    assert harness.issuer.asked == [key] and harness.calls == {}
+    other, left = harness.ask()
+    harness.admission.withdraw(other)
+    assert harness.issuer.asked == [key]
+    harness.admission.notify(SlowStartPermit(other, 0.0))
+    assert harness.calls == {}
+    harness.admission.notify(SlowStartPermit(key, 0.0))
+    assert len(harness.calls) == 1
+    harness.admission.withdraw(key)
+    harness.calls["r1"].reply(Succeeded(b"crossed"))
+    assert harness.withdrawn == ["r1"] and got == left == []
+    turn, got = harness.ask(function="g")  # it requests a permit again after the wait
+    harness.advance_ms(150.0)
+    assert len(harness.calls) == 1
+    harness.issuer.free[8] = 0.0
+    harness.advance_ms(60.0)
+    assert len(harness.calls) == 2 and got == []
+    harness.issuer.free[8] = 900.0
+    assert harness.ask(function="g")[1][0].hold_off_ms >= 900.0
+
+
+def test_later_phases_admit_waiting_calls_and_an_earlier_phase_rejects_them():
     for stage, passed in (
         (RecoveryPhase.NORMAL, 1),
         (RecoveryPhase.COPY_REFRESH, 1),
         (RecoveryPhase.PRIORITY_CALLS, 0),
     ):
-        ground = Ground()
-        _, got = ground.ask("view")
-        ground.go_by(stage)
-        assert len(ground.calls) == passed and len(got) == 1 - passed
+        harness = AdmissionHarness()
+        _, got = harness.ask("view")
+        harness.apply_phase(stage)
+        assert len(harness.calls) == passed and len(got) == 1 - passed
 
 
-def test_an_answer_that_makes_a_client_leave_takes_its_other_held_calls_along():
-    ground = Ground()
-    ground.ask()
-    other, left = ground.ask()
-    ground.at_once = True
-    held = ground.admission._waiting
-    held[next(iter(held))].reply = lambda outcome: ground.admission.withdraw(other)
-    ground.go_by(RecoveryPhase.NORMAL)
-    assert len(ground.passed) == 1 and left == [] and not ground.admission.busy
+def test_a_reply_that_disconnects_its_client_withdraws_the_clients_other_waiting_calls():
+    harness = AdmissionHarness()
+    harness.ask()
+    other, left = harness.ask()
+    harness.replies_at_once = True
+    held = harness.admission._waiting
+    held[next(iter(held))].reply = lambda outcome: harness.admission.withdraw(other)
+    harness.apply_phase(RecoveryPhase.NORMAL)
+    assert len(harness.passed) == 1 and left == [] and not harness.admission.busy
 
 
-def test_alone_only_what_stays_right_if_all_others_serve_too():
+def test_a_partitioned_front_end_admits_only_calls_that_others_may_serve_too():
     class Asks:
         is_repeat = staticmethod(lambda call: False)
         requires_grant = staticmethod(lambda name: True)
 
-    may = AllowedActions(status=True, classes=frozenset(WORTHS), loads=True, part=0.3, alone=True)
-    for promises, passed in ((Asks(), ["settle", "view"]), (None, ["view"])):
-        ground = Ground(may, promises=promises)
-        ground.issuer.places["f"] = 7
+    may = AllowedActions(status=True, classes=frozenset(WEIGHTS), loads=True, part=0.3, alone=True)
+    for claims, passed in ((Asks(), ["settle", "view"]), (None, ["view"])):
+        harness = AdmissionHarness(may, claims=claims)
+        harness.issuer.copy_scorers["f"] = 7
         for class_name in CLASSES:
-            ground.ask(class_name)
-        assert [call.class_name for call in ground.calls.values()] == passed
-        ground.pass_by(13_500.0)
-        assert ground.ask("keyed")[0]  # no repeat from before can come any more
+            harness.ask(class_name)
+        assert [call.class_name for call in harness.calls.values()] == passed
+        harness.advance_ms(13_500.0)
+        assert harness.ask("keyed")[0]  # repeats from before the start can't arrive any more
 
 
-class Promised(Ground):
-    """With the real gate and keeper below."""
+class ClaimGateHarness(AdmissionHarness):
+    """Admission in front of a real claim gate and replica."""
 
     def __init__(self, stage):
         rules, file = s.ReplicationSettings(1, "m", replica_zones=1), fleet_file("a")
         keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas[0]
         self.core = ReplicationCore(keeper, 1, file, rules, 0.0, fresh=True)
-        self.timers = self  # the gate's timers never ring here
+        self.timers = self  # the gate's timers never fire here
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
-        super().__init__(stage, promises=StoredClaims(self.gate, self.core))
+        super().__init__(stage, claims=StoredClaims(self.gate, self.core))
         self.admission.sink = self.gate
 
     def after(self, delay_ms, callback):
@@ -207,22 +207,22 @@
             print,
         )
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
-        shelf, name = self.core.replica.claim_store, call_key(call)
-        shelf.merge(1.0, name, shelf.get_or_create(1.0, name), claim, 10_000.0)
+        claim_store, name = self.core.replica.claim_store, call_key(call)
+        claim_store.merge(1.0, name, claim_store.get_or_create(1.0, name), claim, 10_000.0)
 
 
-def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
-    ground = Promised(RecoveryPhase.RETRIES)
-    ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
-    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.GRANTED)
-    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.RELEASED)
-    answers = [ground.ask("settle")[1] for _ in range(4)]
-    assert answers[:2] == [[Succeeded(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
+def test_repeats_of_claimed_calls_are_answered_before_new_calls_are_admitted():
+    harness = ClaimGateHarness(RecoveryPhase.RETRIES)
+    harness.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
+    harness.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.GRANTED)
+    harness.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.RELEASED)
+    answers = [harness.ask("settle")[1] for _ in range(4)]
+    assert answers[:2] == [[Succeeded(b"kept")], [Failed()]]  # it may have run, and nobody knows its answer
     assert all(isinstance(got[0], Rejected) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
-    assert ground.calls == {} and ground.admission.counts["repeats"] == 2
-    ground.go_by(RecoveryPhase.LISTENING)
-    ground.numbers = 0
-    assert isinstance(ground.ask("settle")[1][0], Rejected)  # not before its stage
+    assert harness.calls == {} and harness.admission.counts["repeats"] == 2
+    harness.apply_phase(RecoveryPhase.LISTENING)
+    harness.numbers = 0
+    assert isinstance(harness.ask("settle")[1][0], Rejected)  # not before its phase
 
 
 DOES = ["take"] * 3 + ["answer", "withdraw", "go_by", "wait", "stood", "ticket", "copy", "gone", "at_once"]
@@ -238,48 +238,48 @@
 @settings(max_examples=200, deadline=None)
 @given(ACTS)
 def test_one_final_answer_whatever_the_order_of_take_answer_withdraw_and_phases(acts):
-    ground, asked, left = Ground(rate_ps=40.0), [], set()
+    harness, asked, left = AdmissionHarness(rate_ps=40.0), [], set()
     rows = ("f", "g", "h")
-    ground.issuer.free = {1: 0.0, 2: None, 3: 250.0}
+    harness.issuer.free = {1: 0.0, 2: None, 3: 250.0}
     for what, n in acts:
         function = rows[n % 3]
         if what == "take":
-            key, got = ground.ask([*CLASSES][n % 3], function=rows[n // 3 % 3])
+            key, got = harness.ask([*CLASSES][n % 3], function=rows[n // 3 % 3])
             asked.append((key, got))
             assert (key is None) == bool(got)
-        elif what == "answer" and ground.calls:
-            ground.calls.pop([*ground.calls][n % len(ground.calls)]).reply(
+        elif what == "answer" and harness.calls:
+            harness.calls.pop([*harness.calls][n % len(harness.calls)]).reply(
                 [Succeeded(b"x"), Failed(), Rejected(1.0)][n % 3]
             )
         elif what == "withdraw" and asked:
             key, got = asked[n % len(asked)]
             if key is not None and not got and key not in left:
                 left.add(key)
-                ground.admission.withdraw(key)
-                for gone in ground.withdrawn:  # the table answers no more
-                    ground.calls.pop(gone, None)
+                harness.admission.withdraw(key)
+                for gone in harness.withdrawn:  # the sink sends no reply for these
+                    harness.calls.pop(gone, None)
         elif what == "go_by":
-            ground.go_by(RecoveryPhase(n % 6), 40.0)
+            harness.apply_phase(RecoveryPhase(n % 6), 40.0)
         elif what == "wait":
-            ground.pass_by(20.0 * n)
+            harness.advance_ms(20.0 * n)
         elif what in ("copy", "stood"):
-            ground.issuer.places[function] = 1 + n % 3
-            ground.admission.notify(CopyAvailable(function))
-        elif what == "ticket" and ground.issuer.asked:
-            ground.admission.notify(SlowStartPermit(ground.issuer.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
+            harness.issuer.copy_scorers[function] = 1 + n % 3
+            harness.admission.notify(CopyAvailable(function))
+        elif what == "ticket" and harness.issuer.asked:
+            harness.admission.notify(SlowStartPermit(harness.issuer.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
         elif what == "gone":
-            ground.issuer.places.pop(function, None)
+            harness.issuer.copy_scorers.pop(function, None)
         elif what == "at_once":
-            ground.at_once = n % 2 == 1
+            harness.replies_at_once = n % 2 == 1
         assert all(len(got) <= 1 for _, got in asked)
         assert not any(got for key, got in asked if key in left)
-    ground.pass_by(3_000.0)  # nothing waits here for longer
-    for call in list(ground.calls.values()):
+    harness.advance_ms(3_000.0)  # no call waits longer
+    for call in list(harness.calls.values()):
         call.reply(Failed())
     for key, got in asked:
         assert len(got) == (key not in left)
     assert (
-        not ground.admission.busy
-        and not ground.admission._awaiting_copy
-        and ground.admission._waiting_bytes == 0
+        not harness.admission.busy
+        and not harness.admission._awaiting_copy
+        and harness.admission._waiting_bytes == 0
     )
--- a/tests/recovery_service/test_recovery_service_counters.py
+++ b/tests/recovery_service/test_recovery_service_counters.py
@@ -1,4 +1,4 @@
-"""What a front end counts for its standing."""
+"""The counters of a front end for its status report."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
 from fawnwharf.recovery_service.counters import REPORT_WINDOW_MS, FrontEndCounters
 from fawnwharf.recovery_service.messages import CallCounts
 
-WORTHS = {"view": 1.0, "save": 5.0}
+WEIGHTS = {"view": 1.0, "save": 5.0}
 
 
 def order(worker, copies=1, took_ms=100.0, ending=io.AttemptResult.GOOD, function="f"):
@@ -20,8 +20,8 @@
     return io.AttemptEnded("r", 1, worker, ending, 1.0, True)
 
 
-def test_calls_of_the_last_second_are_told_by_class_and_older_ones_are_not():
-    counters = FrontEndCounters(WORTHS, 10_000.0)
+def test_reports_cover_the_calls_of_the_last_second_by_class():
+    counters = FrontEndCounters(WEIGHTS, 10_000.0)
     for at_ms, name, good in (
         (0, "save", False),
         (900, "save", True),
@@ -36,17 +36,17 @@
     assert counters.report(9_000.0).calls.share == 1.0  # no calls: none was served late
 
 
-def test_loads_are_held_against_what_calls_said_or_what_they_took_in_calm():
-    counters = FrontEndCounters(WORTHS, 10_000.0)
+def test_slowdown_is_relative_to_stated_or_normal_load_times():
+    counters = FrontEndCounters(WEIGHTS, 10_000.0)
     counters.event(0.0, order(1), 0.0)
-    assert counters.report(1.0).loads == 0  # nobody knows what it takes
+    assert counters.report(1.0).loads == 0  # the normal duration is unknown
     counters.event(2.0, io.RequestArrived("r", "f", "view", "t", 1.0, load_ms=50.0), 0.0)
-    counters.event(3.0, order(1, took_ms=1.0), 0.0)  # it stood
+    counters.event(3.0, order(1, took_ms=1.0), 0.0)  # the copy existed before
     assert counters.report(3.0).loads == 0
     counters.event(4.0, order(2, took_ms=150.0), 0.0)
     assert (counters.report(5.0).loads, counters.report(5.0).slowdown) == (1, 3.0)
     counters.event(6.0, order(2, copies=0), 0.0)
-    counters.event(7.0, order(2, took_ms=50.0), 0.0)  # it had gone, and was loaded anew
+    counters.event(7.0, order(2, took_ms=50.0), 0.0)  # the copy was lost and loaded again
     assert counters.report(8.0).slowdown == 2.0
     counters.normal_operation = True
     counters.event(5_000.0, order(3, function="g", took_ms=40.0), 0.0)
@@ -56,8 +56,8 @@
     assert counters.report(5_002.0).slowdown == 10.0 and counters.normal_load_ms == 40.0
 
 
-def test_a_warming_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
-    counters = FrontEndCounters(WORTHS, 10_000.0)
+def test_a_warming_scorer_that_had_answered_fails_once_and_others_do_not():
+    counters = FrontEndCounters(WEIGHTS, 10_000.0)
     for worker, age_ms, seen in ((1, 500.0, True), (2, 500.0, False), (3, 20_000.0, True)):
         if seen:
             counters.event(0.0, attempt(worker, io.AttemptResult.GOOD), age_ms)
@@ -104,7 +104,7 @@
     keys = [table.take(call()) for _ in range(5)]
     below.calls["r0"].reply(Succeeded(b"x"))
     now[0] = 50.0
-    table.withdraw(keys[1])  # before its time: nobody's fault
+    table.withdraw(keys[1])  # within its latency target: not counted
     below.calls["r1"].reply(Rejected(1.0))
     now[0] = 150.0
     below.calls["r2"].reply(Succeeded(b"late"))
--- a/tests/recovery_service/test_recovery_service_delegated_loads.py
+++ b/tests/recovery_service/test_recovery_service_delegated_loads.py
@@ -1,10 +1,10 @@
-"""Orders that loaders lend to front ends with ration to spare: budget, rations, words that come late."""
+"""Load orders delegated to front ends with spare rate: budget, rate limits and late messages."""
 
 from dataclasses import replace
 
 import pytest
-from support.load_permits import LIMITS, RATION_MS, Fleet, storm
-from test_recovery_service_permit_issuing import ROWS, want_all
+from support.load_permits import LIMITS, RATE_LIMIT_WINDOW_MS, Fleet, run_with_restarts
+from test_recovery_service_permit_issuing import ROWS, request_all
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
@@ -21,46 +21,48 @@
 
 
 def most_of_one(fleet):
-    """Orders of one front end within its ration's time, at the most."""
+    """The most orders of one front end within a rate limit window."""
     found = 0
     for name in fleet.names:
         times = [at for at, by, *_ in fleet.orders if by == name]
-        found = max([found, *(sum(at - RATION_MS < other <= at for other in times) for at in times)])
+        found = max(
+            [found, *(sum(at - RATE_LIMIT_WINDOW_MS < other <= at for other in times) for at in times)]
+        )
     return found
 
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("lost", [0.0, 0.15])
-def test_the_budget_and_each_ration_hold_while_orders_are_delegated_and_load_coordinators_die(seed, lost):
-    fleet = storm(Fleet(seed, lost=lost, ration=4), seed, want_all)
+def test_the_budget_and_each_rate_limit_hold_while_orders_are_delegated_and_coordinators_die(seed, lost):
+    fleet = run_with_restarts(Fleet(seed, lost=lost, rate_limit=4), seed, request_all)
     assert 0 < fleet.most <= LIMITS.fetches
     assert most_of_one(fleet) <= 4
-    assert any(name not in fleet.keepers for _, name, *_ in fleet.orders)
+    assert any(name not in fleet.replicas for _, name, *_ in fleet.orders)
 
 
-def test_rations_of_all_are_used_where_load_coordinators_have_none_left():
+def test_all_rate_limits_are_used_where_coordinators_have_no_orders_left():
     stood = {}
     for lends in (True, False):
-        fleet = Fleet(3, ration=4)
+        fleet = Fleet(3, rate_limit=4)
         if not lends:
             for front in fleet.fronts.values():
                 front.delegated.report_spare_rate = lambda *_: []
-        want_all(fleet)
+        request_all(fleet)
         fleet.run(4_500.0)
-        stood[lends] = len(fleet.stands)
+        stood[lends] = len(fleet.copies)
         assert fleet.most <= LIMITS.fetches and most_of_one(fleet) <= 4
-    assert stood[False] <= 4 * len(fleet.keepers) < stood[True] <= 4 * len(fleet.names)
+    assert stood[False] <= 4 * len(fleet.replicas) < stood[True] <= 4 * len(fleet.names)
 
 
 def test_a_function_is_loaded_once_though_its_delegated_order_is_answered_late():
-    fleet = Fleet(5, ration=4, lost=0.0)
-    want_all(fleet)
+    fleet = Fleet(5, rate_limit=4, lost=0.0)
+    request_all(fleet)
     fleet.run(12_000.0)
     assert len({function for _, _, function, *_ in fleet.orders}) == len(fleet.orders)
-    assert {function for _, function in fleet.stands} <= set(ROWS) and len(fleet.stands) > 40
+    assert {function for _, function in fleet.copies} <= set(ROWS) and len(fleet.copies) > 40
 
 
-# --- the one that orders ----------------------------------------------------------------------------
+# --- the delegate -----------------------------------------------------------------------------------
 
 
 def loan(told, worker=7, function="f", incarnation=3):
@@ -68,12 +70,12 @@
 
 
 def spare(delegated, now_ms=1_000.0, room=6.0):
-    [words] = delegated.report_spare_rate(now_ms, {"n0", "n1"}, room, 6)
-    assert words.to == ("n0", "n1")
-    return words.message
+    [messages_sent] = delegated.report_spare_rate(now_ms, {"n0", "n1"}, room, 6)
+    assert messages_sent.to == ("n0", "n1")
+    return messages_sent.message
 
 
-def test_it_tells_an_equal_part_of_its_capacity_at_its_rate_and_nothing_without_a_ration():
+def test_a_front_end_offers_each_coordinator_an_equal_part_and_nothing_without_a_limit():
     delegated = DelegatedLoadExecutor(3)
     assert spare(delegated).count == 3
     assert delegated.report_spare_rate(1_000.0 + SPARE_REPORT_MS - 1.0, {"n0"}, 6.0, 6) == []
@@ -91,11 +93,11 @@
     [
         (SPARE_VALID_MS, 3, True, True),
         (SPARE_VALID_MS + 1.0, 3, True, False),
-        (10.0, 2, True, False),  # told by an earlier life of it
-        (10.0, 3, False, False),  # loads are not allowed by now
+        (10.0, 2, True, False),  # offered by an earlier incarnation
+        (10.0, 3, False, False),  # loads are no longer allowed
     ],
 )
-def test_a_delegated_order_is_taken_while_what_was_told_is_fresh_by_its_own_clock(
+def test_a_delegated_order_is_accepted_only_while_its_spare_rate_report_is_fresh(
     late_ms, incarnation, may, taken
 ):
     delegated = DelegatedLoadExecutor(3)
@@ -115,9 +117,9 @@
         (True, io.AttemptResult.GOOD, 1, m.DelegatedLoadResult.LOADED),
         (True, io.AttemptResult.FULL, 0, m.DelegatedLoadResult.FAILED),
         (True, io.AttemptResult.RESET, 0, m.DelegatedLoadResult.FAILED),
-        (True, io.AttemptResult.GOOD, 0, None),  # of a question
+        (True, io.AttemptResult.GOOD, 0, None),  # answers a query
         (False, io.AttemptResult.FULL, 0, None),
-        (False, io.AttemptResult.GOOD, 1, m.DelegatedLoadResult.LOADED),  # a copy of before
+        (False, io.AttemptResult.GOOD, 1, m.DelegatedLoadResult.LOADED),  # an earlier copy
     ],
 )
 def test_what_came_of_a_delegated_order_is_reported_to_its_load_coordinator_once(made, ending, copies, said):
@@ -138,17 +140,17 @@
     assert not delegated.is_own(7, "f") and delegated.answered(event, counts_copies=proves) == []
 
 
-# --- the loader -------------------------------------------------------------------------------------
+# --- the coordinator --------------------------------------------------------------------------------
 
 
-def test_a_load_coordinator_counts_on_who_told_last_while_that_is_fresh_and_on_no_more_than_was_told():
+def test_a_coordinator_delegates_by_the_latest_fresh_report_and_no_more_than_offered():
     spare_rates = SpareRates()
     spare_rates.receive(0.0, "n4", m.SpareRate(1, 1, 2))
     spare_rates.receive(10.0, "n5", m.SpareRate(9, 4, 1))
-    spare_rates.receive(20.0, "n5", m.SpareRate(9, 4, 1))  # twice the same
+    spare_rates.receive(20.0, "n5", m.SpareRate(9, 4, 1))  # a duplicate
     spare_rates.receive(30.0, "n5", m.SpareRate(9, 3, 5))  # late
     assert [spare_rates.take(60.0) for _ in range(4)] == [("n5", 9, 4), ("n4", 1, 1), ("n4", 1, 1), None]
-    spare_rates.receive(100.0, "n5", m.SpareRate(2, 1, 1))  # of another life
+    spare_rates.receive(100.0, "n5", m.SpareRate(2, 1, 1))  # of another incarnation
     assert spare_rates.take(101.0 + SPARE_FRESH_MS) is None and spare_rates.take(100.0 + SPARE_FRESH_MS) == (
         "n5",
         2,
@@ -159,8 +161,8 @@
     assert spare_rates.take(301.0) is None
 
 
-def test_a_load_permit_whose_delegated_order_is_not_heard_of_is_free_after_a_loads_usual_time():
-    fleet = Fleet(2, ration=0)
+def test_a_permit_is_free_after_the_typical_load_time_if_its_delegate_reports_nothing():
+    fleet = Fleet(2, rate_limit=0)
     front = fleet.fronts["n0"]
     for name in fleet.names:
         front.receive(0.0, name, m.SpareRate(1, 1, 8))
@@ -170,7 +172,7 @@
     front.receive(900.0, "n5", m.SpareRate(1, 2, 8))
     front.receive(900.0, "n5", m.LoadRequests((m.LoadRequest(function, "view", 5.0),)))
     outs = front.coordination.orders(1_500.0 - 500.0)
-    if not outs:  # its seats may be used a little later
+    if not outs:  # its permits may be usable a little later
         front.receive(1_300.0, "n5", m.SpareRate(1, 3, 8))
         outs = front.coordination.orders(1_350.0)
     [lend] = [out for out in outs if isinstance(out, SendPermitMessage)]
@@ -186,9 +188,12 @@
     )
 
 
-def test_load_permits_that_do_not_wait_for_what_was_delegated_are_found(monkeypatch):
+def test_the_check_detects_permits_that_do_not_wait_for_delegated_orders(monkeypatch):
     monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.DELEGATION_MS", -500.0)
     assert (
-        max(storm(Fleet(seed, lost=0.15, ration=4), seed, want_all).most for seed in range(6))
+        max(
+            run_with_restarts(Fleet(seed, lost=0.15, rate_limit=4), seed, request_all).most
+            for seed in range(6)
+        )
         > LIMITS.fetches
     )
--- a/tests/recovery_service/test_recovery_service_disks.py
+++ b/tests/recovery_service/test_recovery_service_disks.py
@@ -1,5 +1,7 @@
-"""Real processes whose machines lost their power, one of them with another disk than it had: an older copy,
-another member's, an empty one, one with a bit that is another."""
+"""Real processes that restart after a power loss, one of them with a wrong disk.
+
+The disk is an older copy, that of another member, empty, or has a flipped bit.
+"""
 
 import contextlib
 import resource
@@ -17,18 +19,18 @@
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
 PACE = {"again_ms": 50.0, "spread_ms": 20.0, "stand_ms": 50.0, "stage_ms": 100.0}
-ALONE_S = 0.4  # for so long a pair of front ends is asked, of which one is in doubt
+ALONE_S = 0.4  # how long calls are sent to two front ends, one of which has a doubtful store
 
 
 class DiskFleet(PowerFleet):
-    """`one` is the member whose disk is another; the second is up beside it, the third comes last."""
+    """`one` is the member with the wrong disk; the second runs beside it, the third starts last."""
 
     def __init__(self, seed):
         super().__init__(seed, timing=TIMING, pace=PACE)
         self.begin()
         self.served("the fleet to serve")
         self.one, self.second, self.third = self.fronts.values()
-        self.began = 0  # notes before this cut
+        self.began = 0  # notes before this power loss
 
     def disk(self, front):
         return front.folder / "durable"
@@ -37,14 +39,14 @@
         return [n.fields for n in self.notes[self.began :] if (n.front, n.event) == (front.name, event)]
 
     def lose(self):
-        """A call runs, then the power goes."""
+        """Cut the power while a call runs; return the call."""
         request = self.running()
         self.cut()
         self.began = len(self.notes)
         return request
 
     def refused(self, *fronts):
-        """They end by themselves; the one line of each, once it is seen that nothing was changed."""
+        """Check that starts fail and change nothing; return the single error line of each front end."""
         before = [contents(self.disk(front)) for front in fronts]
         for front in fronts:
             self.start(front)
@@ -60,8 +62,11 @@
         self.until_ready(fronts, "front ends")
 
     def in_doubt(self, request, why):
-        """The one serves beside the second, then with all; what it lost is not run again, and all is well in
-        the end."""
+        """Check that a front end with a doubtful store grants nothing and later recovers.
+
+        It runs beside the second front end, then with all. The lost call never runs again, and new calls are
+        served in the end.
+        """
         one, second, third = self.one, self.second, self.third
         self.ready(one, *([] if second.alive else [second]))
         assert self.said(one, "recovery store read")[-1]["why"].startswith(why)
@@ -95,7 +100,7 @@
 
 
 def proven(log):
-    """A place in its first group, which a later one tells to be on disk; 0: none does."""
+    """An offset in the first group if a later group confirms that it is on disk; 0 otherwise."""
     data = log.read_bytes()
     groups = [content for _, content in leading_records(data)[0][1:]]
     if not groups:
@@ -110,7 +115,7 @@
 def flip(path, place):
     data = bytearray(path.read_bytes())
     data[place] ^= 4
-    with path.open("r+b") as file:  # in place: its inode stays
+    with path.open("r+b") as file:  # written in place to keep the inode
         file.write(data)
     return place
 
@@ -157,7 +162,7 @@
         assert f"the disk of member {other.name}, not of {front.name}" in line
     mended = recovery("repair", disks[0])
     assert mended.returncode == 0 and mended.stdout.strip() == "nothing to repair"
-    swap(*disks)  # what is at its place again is whole: the second is, as `in_doubt` looks
+    swap(*disks)  # the disks are undamaged in their own places, as `in_doubt` checks for the second
     shutil.rmtree(disks[0])
     fleet.in_doubt(request, "empty")
 
@@ -179,13 +184,13 @@
 
 
 def processes(front):
-    """Of a machine that has this front end: it, and the writer of its store."""
+    """The process ids of a front end and of its store's writer."""
     pid = front.process.pid
     return [pid, *map(int, Path(f"/proc/{pid}/task/{pid}/children").read_text().split())]
 
 
 def full(front, on):
-    """Its machine's disk takes not one byte more, or does again: the system turns away what is written."""
+    """Simulate a full disk, or end it, by limiting the file size of the front end's processes."""
     for pid in processes(front):
         with contextlib.suppress(ProcessLookupError):
             most = 0 if on else resource.RLIM_INFINITY
@@ -204,7 +209,7 @@
     full(one, True)
     fleet.until(lambda: fleet.ask(one.zone) and noted(one, "not durable now"), "the full disk to be seen")
     fleet.until(lambda: not fleet.sure(one), f"{one.name} to grant nothing")
-    fleet.served("a call by two of three keepers")  # it comes in at the one whose disk is full
+    fleet.served("a call by two of three keepers")  # it arrives at the front end with the full disk
     assert fleet.sure(second) and fleet.sure(third)
     full(second, True)
     fleet.until(lambda: fleet.ask(second.zone) and noted(second, "not durable now"), "the second one")
--- a/tests/recovery_service/test_recovery_service_integration.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -1,4 +1,4 @@
-"""A front end with a door, orders held back and a loader of its own, on its real loop, by real sockets."""
+"""A front end with recovery admission, load order gate and permit issuer, with real loop and sockets."""
 
 import pytest
 from peers import ROW, SETTINGS, Rig, ScorerPeer
@@ -16,7 +16,7 @@
 
 
 class Loading(ScorerPeer):
-    """Tells truly what stands; an order waits until the test lets it load."""
+    """A scorer that reports its copies correctly; an order waits until the test allows the load."""
 
     def __init__(self):
         super().__init__(copies=None)
@@ -35,7 +35,7 @@
 
 
 class Joined:
-    """In the place of the service: the seam, and a turn of 20 ms."""
+    """Replaces `RecoveryService`: attaches the parts and ticks every 20 ms."""
 
     def __init__(self, front, settings):
         self.front, self.busy = front, False
@@ -62,7 +62,7 @@
         self.issuer.update(monotonic_ms(), ["n0"], ["n0"], may, 1)
         self.order_gate.apply(may, self.issuer)
         self.admission.apply(may, 1_000.0, self.issuer)
-        self.admission.rate_limiter.tokens = 500.0  # as if it had gone by it for a while
+        self.admission.rate_limiter.tokens = 500.0  # as if this rate had been set for a while
 
     def turn(self):
         self.carry(self.issuer.tick(monotonic_ms()))
@@ -132,10 +132,10 @@
     assert client.kinds()[later] == "answer" and joined.joined.order_gate.rejected == 0
 
 
-def test_an_order_of_the_decision_modules_own_does_not_go_out_before_renewal(joined):
+def test_the_decision_modules_own_orders_are_not_sent_before_copy_refresh(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
-    joined.front.client_port.requests = joined.front.requests  # this call passes no door
+    joined.front.client_port.requests = joined.front.requests  # this call bypasses admission
     client.call()
     joined.until(lambda: joined.joined.order_gate.rejected, "the module orders")
     joined.settle(client)
@@ -144,7 +144,7 @@
     joined.until(lambda: scorer.orders, "its place has rested, and the order goes out")
 
 
-def test_a_client_that_ends_takes_its_held_call_along(joined):
+def test_a_disconnecting_client_withdraws_its_waiting_call(joined):
     client = joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     client.call()
--- a/tests/recovery_service/test_recovery_service_killed.py
+++ b/tests/recovery_service/test_recovery_service_killed.py
@@ -1,4 +1,4 @@
-"""Recovery in real processes: `serve --recovery`, all killed at once, their machines in another boot."""
+"""Recovery of real `serve --recovery` processes that are killed at once and restart in another boot."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 class Served:
-    """One front end as a process, by the files of a node."""
+    """One front end process that uses the files of a node."""
 
     def __init__(self, node):
         self.node, self.listen, self.child = node, Port(shared=True), None
@@ -70,7 +70,7 @@
 
 
 def good(site, process):
-    """Whether its status is; None where nobody answers."""
+    """Whether its readiness status is good; None if nobody answers."""
     try:
         client = ClientPeer(process.listen.address)
     except OSError:
--- a/tests/recovery_service/test_recovery_service_processes.py
+++ b/tests/recovery_service/test_recovery_service_processes.py
@@ -1,4 +1,4 @@
-"""Real processes with stores: all killed at once, started in another boot; one killed as it granted."""
+"""Real processes with stores: all killed at once and restarted in another boot; one killed while granting."""
 
 import json
 import signal
@@ -47,7 +47,7 @@
 """
 
 
-def test_a_replica_that_was_killed_as_it_granted_finds_each_grant_that_it_said(tmp_path):
+def test_a_replica_killed_while_granting_finds_every_grant_that_it_sent(tmp_path):
     boot = tmp_path / "boot"
     boot.write_text("one")
     child = subprocess.Popen(
@@ -83,7 +83,9 @@
     fleet = PowerFleet(seed=5)
     try:
         fleet.begin()
-        request = fleet.running()  # its scorer is of this process, and answers nothing before the cut
+        request = (
+            fleet.running()
+        )  # its scorer runs in the test process and answers nothing before the power loss
         fleet.cut()
         fleet.up()
         for zone in ("b", "c"):
@@ -113,7 +115,7 @@
         fleet.close()
 
 
-def test_front_ends_that_end_in_order_say_so_in_their_stores_and_go_on_as_they_were():
+def test_front_ends_that_close_cleanly_record_it_and_continue_as_before():
     fleet = PowerFleet(seed=7)
     try:
         fleet.begin()
@@ -127,7 +129,7 @@
         assert [(row["incarnation"], row["same_boot"], row["in_order"], row["why"]) for row in stores] == [
             (2, True, True, "")
         ] * 3
-        fleet.served("a call of the next life")
+        fleet.served("a call of the next incarnation")
         assert not fleet.faults
     finally:
         fleet.close()
--- a/tests/recovery_service/test_recovery_service_promise_disk_faults.py
+++ b/tests/recovery_service/test_recovery_service_promise_disk_faults.py
@@ -1,10 +1,10 @@
-"""A keeper's promises where its store has no room: what it can't keep, it does not know after a restart."""
+"""Grants of a replica whose store is full: after a restart it must not claim to know all its grants."""
 
 import itertools
 
 import msgspec
 import pytest
-from support.memory_stores import LIMITS, Site, StoreCores, asks
+from support.memory_stores import LIMITS, Site, StoreCores, request_claim
 
 from fawnwharf.recovery_core.trust import StateKind, StoreCondition
 from fawnwharf.recovery_service import stored_state as k
@@ -18,7 +18,7 @@
 
 
 def no_room(kept):
-    """The bytes of promises are used up."""
+    """Use up the store's space for grants."""
     kept._bytes[PROMISES.name] = PROMISES.max_total_bytes - 10
 
 
@@ -26,40 +26,42 @@
     kept._bytes[PROMISES.name] = 0
 
 
-def test_a_replica_that_could_not_keep_what_it_heard_knows_not_all_after_a_restart(site):
+def test_a_replica_that_could_not_store_a_claim_does_not_know_all_grants_after_a_restart(site):
     cores = StoreCores(site)
     keeper, (owner, other, _) = cores.keepers[0], cores.owners
     cores.lost = {keeper}
-    cores.begin(owner)  # granted by the other two
-    cores.turn()
+    cores.begin(owner)  # granted by the other two replicas
+    cores.flush_stores()
     cores.lost = set()
     del site.machines[keeper]
     cores.end_all("cut", keeper)
-    no_room(cores.kepts[keeper])
+    no_room(cores.stores[keeper])
     cores.wait(1_500)
-    assert cores.sure(keeper) and not asks(cores, other, keeper)().granted  # it heard of the call
-    room(cores.kepts[keeper])
+    assert (
+        cores.knows_all_grants(keeper) and not request_claim(cores, other, keeper)().granted
+    )  # it knows of the call
+    room(cores.stores[keeper])
     cores.end_all("kill", keeper)
-    cores.lost = set(cores.keepers[1:])  # nobody tells it now
-    cores.turn(keeper)
-    assert not cores.sure(keeper) and not asks(cores, other, keeper)().granted
+    cores.lost = set(cores.keepers[1:])  # no other replica answers it
+    cores.flush_stores(keeper)
+    assert not cores.knows_all_grants(keeper) and not request_claim(cores, other, keeper)().granted
 
 
-def test_once_what_it_could_not_keep_is_over_a_replica_is_known_to_know_all(site):
+def test_a_replica_knows_all_grants_once_the_claim_that_it_could_not_store_has_expired(site):
     cores = StoreCores(site)
     keeper = cores.keepers[0]
-    no_room(cores.kepts[keeper])
-    assert not asks(cores, cores.owners[0], keeper)().granted
-    cores.turn()
-    assert cores.kepts[keeper].complete_membership_number == 0 and cores.sure(keeper)
+    no_room(cores.stores[keeper])
+    assert not request_claim(cores, cores.owners[0], keeper)().granted
+    cores.flush_stores()
+    assert cores.stores[keeper].complete_membership_number == 0 and cores.knows_all_grants(keeper)
     cores.wait(9_000)
-    assert cores.kepts[keeper].complete_membership_number == cores.cores[keeper].placement.number
+    assert cores.stores[keeper].complete_membership_number == cores.cores[keeper].placement.number
     cores.end_all("cut", keeper)
-    assert cores.sure(keeper)
+    assert cores.knows_all_grants(keeper)
 
 
 def filled(kept):
-    """All bytes of the store are used, but for fewer than one more entry takes."""
+    """Use up the store's space, so that not one more entry fits."""
     numbers = itertools.count()
     for size in (1_000, 100, 1):
         while kept.keep(StateKind.PLACEMENTS, str(next(numbers)), "x" * size):
@@ -72,7 +74,7 @@
     filled(kept)
     kept.mark_incomplete("a reason of some length" * 10)
     told = []
-    for _ in range(12):  # its number grows by a digit
+    for _ in range(12):  # its number gains a digit
         kept.when_committed(lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told == [(True, "")] * 12
--- a/tests/recovery_service/test_recovery_service_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -1,4 +1,4 @@
-"""Recovery over real sockets: three front ends with stores, boots' marks in files, calls and `status`."""
+"""Recovery over real sockets: three front ends with stores, boot id files, calls and `status`."""
 
 import json
 import shutil
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("site", [{}, {"policy": True}], indirect=True)
-def test_all_that_lost_power_come_back_by_the_phases_and_status_is_good_from_worth_on(site):
+def test_front_ends_that_lost_power_recover_by_phases_and_are_ready_from_priority_calls_on(site):
     site.begin()
     assert all(site.ready(node) is True for node in site.nodes)
     site.power_loss(2)
@@ -35,7 +35,7 @@
         "calm",
     )
     for node in site.nodes:
-        # What was decided while it had not asked yet may have been left again before it heard of it.
+        # A phase decided before this front end sent its queries may have ended before it was received.
         stages = [stage for cut, stage in node.stages() if cut == 1 and stage != "partitioned"]
         assert stages == [stage for stage in RETURN if stage in stages] and stages[-1] == "spill"
         assert not any(f["status"] for f in node.noted("recovery phase") if f["phase"] in RETURN[:2])
@@ -47,10 +47,10 @@
             and node.noted("recovery enabled")[0]["same_boot"] is False
         )
     whys = [fields["why"] for node in site.nodes for fields in node.noted("recovery phase decided")]
-    assert whys.count("power loss") <= 1  # none where its leader gave way as it was decided
+    assert whys.count("power loss") <= 1  # none if the leader lost its term during the decision
 
 
-def test_one_that_starts_again_in_calm_starts_no_recovery_whether_its_machine_did_or_not(site):
+def test_a_restart_in_normal_operation_starts_no_recovery_with_or_without_a_reboot(site):
     site.begin()
     back = site.nodes[1]
     for number in (1, 2):
@@ -84,7 +84,7 @@
     assert may.alone and may.part == pytest.approx(1 / 3) and not may.spill
     assert alone.part.running.integration.admission.rate_limiter.rate_ps == pytest.approx(
         200.0 / 3
-    )  # of one scorer, and it is warm
+    )  # the rate of one warm scorer
     assert (
         alone.noted("startup queries done")[0]["missing"]
         and alone.noted("recovery phase")[-1]["phase"] == "partitioned"
@@ -102,7 +102,7 @@
     assert "listening" not in [stage for cut, stage in alone.stages() if cut == 1]
 
 
-def test_calls_are_counted_for_the_leader_until_it_has_been_calm_for_a_while(site):
+def test_calls_are_counted_for_the_leader_until_normal_operation_has_lasted_a_while(site):
     site.begin()
     node = site.nodes[2]
     site.until(
@@ -117,7 +117,7 @@
     client, done, answered = site.client(node), [], set()
 
     def heard():
-        """One call after the other, each answered: what the leader hears of it."""
+        """Send and answer calls one after the other; return whether the leader received their counts."""
         if len(client.kinds()) == len(done):
             done.append(client.call(call=f"{len(done):016x}"))
         for link, frame in node.scorer.runs:
@@ -132,7 +132,7 @@
     assert node.part.running.calls.counting and "answer" in client.kinds().values()
 
 
-def test_a_store_that_was_lost_is_doubted_until_others_confirm_it_in_calm(site):
+def test_a_lost_store_is_doubted_until_others_confirm_it_in_normal_operation(site):
     site.begin()
     back = site.nodes[1]
     site.power_loss(1, [back])
@@ -150,7 +150,7 @@
     assert back.part.parts.store.condition is StoreCondition.INTACT
 
 
-def test_one_without_a_change_log_dials_the_scorers_of_its_last_roster(site):
+def test_a_front_end_without_a_change_log_uses_the_scorers_of_its_last_roster(site):
     site.begin()
     node = site.nodes[0]
     event = {"seq": 2, "fleet": {"complete": True, "members": [node.scorer.member(locality="a")]}}
@@ -160,7 +160,7 @@
     site.rest(0.3)
     site.power_loss(2, [node])
     node.known = False
-    pump, node.log.pump = node.log.pump, lambda: None  # it takes connections and says nothing
+    pump, node.log.pump = node.log.pump, lambda: None  # it accepts connections and sends nothing
     site.start([node])
     site.until(lambda: node.noted("earlier roster used"), "it goes by the last roster")
     assert list(node.front.roster_overlay.members) == [node.scorer.member()["id"]]
@@ -169,7 +169,7 @@
     node.log.pump = pump
 
 
-def test_a_bad_message_is_dropped_and_said_once_a_second(site):
+def test_a_malformed_message_is_dropped_and_logged_once_a_second(site):
     site.begin()
     node = site.nodes[0]
     before = dict(node.agent.drops)
@@ -181,7 +181,7 @@
     assert len(node.noted("message dropped")) == 1
 
 
-def test_one_that_handed_its_parts_to_another_process_and_takes_them_back_queries_again(site):
+def test_a_front_end_that_takes_its_parts_back_after_a_hand_off_queries_again(site):
     site.begin()
     node = site.nodes[2]
     extension, life = node.front.extension, node.part.parts.store.incarnation
--- a/tests/recovery_service/test_recovery_service_settings.py
+++ b/tests/recovery_service/test_recovery_service_settings.py
@@ -1,4 +1,4 @@
-"""The settings of recovery in a front end: faults by key, in one line."""
+"""The settings of recovery: each fault is reported in one line that names the key."""
 
 from pathlib import Path
 
@@ -44,6 +44,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b"[" * 100_000, b"\xff"])
-def test_what_is_no_settings_is_a_fault(data):
+def test_data_that_is_no_settings_file_is_rejected(data):
     with pytest.raises(SettingsFileError):
         settings_from(data)
--- a/tests/recovery_service/test_recovery_service_stored_state.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -1,4 +1,4 @@
-"""What a start makes of a store: trust by boot and life, doubt that outlives, bounds, hints."""
+"""Recovery of a store at a start: trust by boot and incarnation, persistent doubt, limits and hints."""
 
 import msgspec
 import pytest
@@ -73,7 +73,7 @@
     assert numbers == [5_000_000_000, 5_000_000_001, 5_000_000_002, 9_000_000_000, 9_000_000_001]
 
 
-def test_a_promise_counts_down_within_a_boot_and_whole_in_another_one(site):
+def test_a_grant_expires_by_the_clock_within_a_boot_and_counts_in_full_in_another(site):
     kept = site.kept(fresh=True)
     on_disk(site, kept, StateKind.GRANT, "a", [5_000.0, "x"])
     site.now += 3_000.0
@@ -84,7 +84,7 @@
     site.now += 60_000.0
     kept = site.kept()
     assert kept.read(StateKind.GRANT) == [("a", [5_000.0, None, "x"], TrustLevel.NOW)]
-    site.now = 500.0  # its mark is the same, and its clock went back: another boot
+    site.now = 500.0  # same boot id but an earlier clock reading: another boot
     site.machine().kill()
     kept = site.kept()
     assert not kept.same_boot and kept.read(StateKind.GRANT)[0][1][:2] == [5_000.0, None]
@@ -93,7 +93,7 @@
     site.now += 200.0
     site.machine().kill()
     kept = site.kept()
-    assert kept.read(StateKind.GRANT) == [] and kept.store.items("promise") == []  # over, and gone
+    assert kept.read(StateKind.GRANT) == [] and kept.store.items("promise") == []  # expired and deleted
 
 
 def test_where_the_system_tells_no_boot_each_start_is_another_one(site, tmp_path):
@@ -104,7 +104,7 @@
         assert not site.kept("m", boot_file=boot_file).same_boot
 
 
-def test_an_empty_folder_of_a_fleet_that_goes_on_is_in_part_until_others_confirm(site):
+def test_an_empty_folder_of_an_existing_fleet_is_partial_until_others_confirm(site):
     kept = site.kept()
     assert (kept.condition, kept.doubt, kept.was_empty) == (StoreCondition.PARTIAL, "empty", True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
-def test_no_power_loss_in_the_first_start_makes_a_whole_store_of_an_empty_folder(site, share):
+def test_no_power_loss_during_the_first_start_makes_an_empty_folder_count_as_complete(site, share):
     site.kept("whole")
     operations = site.machine("whole").disk.count
     assert operations > 5
@@ -134,13 +134,13 @@
         assert site.kept(f"m{at}").condition is StoreCondition.PARTIAL
 
 
-def test_a_fleet_that_begins_has_lost_nothing_by_an_empty_folder(site):
+def test_an_empty_folder_of_a_new_fleet_has_lost_nothing(site):
     assert site.kept(fresh=True).condition is StoreCondition.INTACT
     site.machine().cut()
     assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_a_repaired_folder_is_in_part_and_what_its_replica_knew_is_forgotten_once(site):
+def test_a_repaired_folder_is_partial_and_its_record_of_known_grants_is_dropped_once(site):
     kept = site.kept(fresh=True)
     kept.keep_complete_membership_number(3)
     for n in range(5):
@@ -159,7 +159,7 @@
         and kept.doubt.startswith("repaired")
         and kept.complete_membership_number == 0
     )
-    kept.keep_complete_membership_number(3)  # it waited, and knows all again: that is its own, and outlives
+    kept.keep_complete_membership_number(3)  # it waited and knows all grants again; that is stored
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
@@ -170,7 +170,7 @@
     assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_an_older_copy_is_shown_by_what_others_heard_and_own_messages_are_none(site):
+def test_an_older_copy_is_detected_by_positions_known_to_others_and_not_by_its_own(site):
     kept = site.kept(fresh=True)
     kept.keep_complete_membership_number(3)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
@@ -190,14 +190,14 @@
     kept.on_incomplete(lambda: told.append(kept.condition))
     assert (
         kept.condition is StoreCondition.INTACT and kept.complete_membership_number == 3
-    )  # by the folder alone nothing shows it
+    )  # the folder alone does not show it
     assert not kept.receive_position(heard)
     assert (
         told == [StoreCondition.PARTIAL]
         and kept.complete_membership_number == 0
         and kept.doubt.startswith("rolled back")
     )
-    assert not kept.receive_position(heard) and told == [StoreCondition.PARTIAL]  # said once
+    assert not kept.receive_position(heard) and told == [StoreCondition.PARTIAL]  # notified once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
@@ -205,15 +205,17 @@
     far = FolderPosition(heard.disk_id, 9, 9)
     assert not kept.receive_position(far)
     kept.confirm()
-    assert kept.receive_position(far) and kept.condition is StoreCondition.INTACT  # others went over it
+    assert (
+        kept.receive_position(far) and kept.condition is StoreCondition.INTACT
+    )  # others have confirmed the store since
     site.pump(kept, 200.0)
     kept = site.kept()
     assert kept.condition is StoreCondition.INTACT and not kept.receive_position(
         far
-    )  # a start hears of it anew
+    )  # a new start is told again
 
 
-def test_a_copy_of_within_the_last_incarnation_is_shown_to_a_store_that_has_settled_too(site):
+def test_a_copy_taken_within_the_last_incarnation_is_detected_after_settling_too(site):
     kept = site.kept(fresh=True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     older, between = site.machine().disk.copy(), kept.position()
@@ -237,7 +239,7 @@
     assert f"life 1, number {between.number}" in kept.doubt
 
 
-def test_what_is_beyond_the_bounds_is_rejected_and_said_once(site):
+def test_entries_beyond_the_limits_are_rejected_and_logged_once(site):
     kept = site.kept(fresh=True)
     told, whole = [], "x" * (k.ENTRY_RULES[StateKind.PLACEMENTS].max_value_bytes - 100)
     rule = k.ENTRY_RULES[StateKind.PLACEMENTS]
@@ -245,34 +247,34 @@
         kept.keep(StateKind.PLACEMENTS, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told[0] == (True, "") and told[-1] == (False, "homes: exceeds 1048576 bytes in total")
-    assert sum(what == "recovery store rejected an entry" for what, _ in site.notes) == 1
+    assert sum(what == "recovery store rejected an entry" for what, _ in site.log_events) == 1
     assert kept.keep(StateKind.PLACEMENTS, "0", None) and kept.keep(StateKind.PLACEMENTS, "new", whole)
     assert not kept.keep(StateKind.GRANT, "p", "x" * 40_000) and kept.keep(StateKind.GRANT, "p", [1.0])
 
 
-def test_what_is_on_disk_is_reported_and_what_a_failing_disk_may_have_is_unsure(site):
+def test_commits_are_reported_once_on_disk_and_as_uncertain_while_the_disk_fails(site):
     kept, told = site.kept(fresh=True), []
-    site.machine().held = True
+    site.machine().writer_held = True
     kept.keep(StateKind.PLAN, "last", 1, lambda good, why: told.append(good))
     site.pump(kept)
     assert told == []
-    site.machine().held = False
+    site.machine().writer_held = False
     site.pump(kept)
     assert told == [True]
-    site.machine().fails()
+    site.machine().fail_operations()
     kept.keep(StateKind.PLAN, "last", 2, lambda good, why: told.append(good))
     site.pump(kept)
     assert told == [True, False] and "Input/output" in kept.failing
-    assert kept.keep(StateKind.PLAN, "last", 3, lambda good, why: told.append(good))  # kept, and not sure
+    assert kept.keep(StateKind.PLAN, "last", 3, lambda good, why: told.append(good))  # stored, but uncertain
     assert told == [True, False, False]
-    site.machine().works()
+    site.machine().repair()
     site.pump(kept, 1_000.0)
     assert not kept.failing
     site.machine().cut(share=0.0)
     assert site.kept().read(StateKind.PLAN)[0][1] == 3
 
 
-def test_what_was_found_is_settled_once_the_start_rewrote_it(site):
+def test_recovered_entries_are_settled_once_the_start_has_rewritten_them(site):
     kept = site.kept(fresh=True)
     site.machine().kill()
     kept = site.kept(settle=False)
@@ -284,7 +286,7 @@
     assert not kept.keep(StateKind.PLAN, "last", 1)
 
 
-def test_settings_that_do_not_fit_end_a_start_by_name(site):
+def test_invalid_settings_fail_the_start_and_name_the_key(site):
     with pytest.raises(ConfigError, match=r"recovery.folder: .*more than a folder"):
         kept = site.kept(fresh=True)
         on_disk(site, kept, StateKind.PLAN, "last", "x" * 20_000)
@@ -295,7 +297,7 @@
     kept, recorder = site.kept(fresh=True), hints.RosterRecorder()
     one = Member("7", "in_service", "h:1", "z1", "big", 2, 1.5)
     recorder.update(Fleet([one]))
-    assert recorder.due(0.0) is None  # not whole yet
+    assert recorder.due(0.0) is None  # not complete yet
     recorder.update(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
     kept.keep(StateKind.ROSTER, hints.ENTRY_KEY, recorder.due(0.0))
     two = msgspec.structs.replace(one, id="9")
@@ -322,7 +324,7 @@
     assert recorder.due(11_000.0) is None  # written once in five windows
     value = recorder.due(20_000.0)
     assert len(value) == hints.MAX_FUNCTIONS and {rps for _, _, rps in value} == {0.2}
-    assert recorder.due(60_000.0) is None  # nothing came
+    assert recorder.due(60_000.0) is None  # no calls arrived
     kept = site.kept(fresh=True, limits=LIMITS)
     assert kept.keep(StateKind.USAGE, hints.ENTRY_KEY, value)
     site.pump(kept, 300.0)
--- a/tests/recovery_service/test_recovery_service_whole_file_faults.py
+++ b/tests/recovery_service/test_recovery_service_whole_file_faults.py
@@ -1,4 +1,4 @@
-"""Small files that are written whole: each call failing or the last one leaves the old one or the new one."""
+"""Small files that are replaced as a whole: a failing or last system call leaves the old or the new file."""
 
 import errno
 import os
@@ -22,11 +22,11 @@
     policy_file.write_policy_file(path, policy_file.StoredPolicy(incarnation=life, register="r" * 50))
 
 
-CALLS = 7  # of a write: open, write, sync, name, and the folder's open and sync; one is spare
+CALLS = 7  # system calls of a write: open, write, sync, rename, the folder's open and sync, and one spare
 
 
 def plans():
-    """What goes wrong, by the number of the call in one write."""
+    """Fault plans for each system call of one write."""
     for at, half in product(range(CALLS), (False, True)):
         yield Faults(fail_at=at, error=errno.ENOSPC, half=half)
         yield Faults(fail_at=at, error=errno.EIO, fail_for=ALWAYS, half=half)
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_what_was_kept_of_policies_is_found_whatever_call_failed_or_was_the_last(tmp_path, end):
+def test_stored_policies_survive_whichever_write_call_fails_or_is_the_last(tmp_path, end):
     for number, plan in enumerate(plans()):
         folder = tmp_path / f"{number}"
         folder.mkdir()
@@ -58,7 +58,7 @@
             )
 
 
-def test_a_file_of_policies_truncated_at_any_byte_is_none(tmp_path):
+def test_a_policy_file_truncated_at_any_byte_is_rejected(tmp_path):
     path = tmp_path / "policy.kept"
     write(path, 5)
     data = path.read_bytes()
@@ -67,12 +67,12 @@
         assert policy_file.read_policy_file(path) == policy_file.StoredPolicy()
 
 
-def test_what_was_learnt_stays_as_it_was_where_the_new_file_has_no_room_or_no_name(tmp_path, monkeypatch):
+def test_learned_state_stays_unchanged_where_the_new_file_can_not_be_written(tmp_path, monkeypatch):
     directory = HandoffDirectory(str(tmp_path), "front", ("127.0.0.1", 1))
     directory.write_learned_state(b"before")
     faults = FileFaults(tmp_path)
     with faults.installed():
-        faults.fail(error=errno.EIO)  # of the name; a buffered write is none of the calls
+        faults.fail(error=errno.EIO)  # fails the rename; a buffered write is not intercepted
         with pytest.raises(OSError, match="Input/output"):
             directory.write_learned_state(b"after")
         faults.works()
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -1,4 +1,7 @@
-"""Durable stores of front ends on disks in memory, in virtual time: cut, killed, held back, failing."""
+"""Durable stores of front ends on in-memory disks, in virtual time.
+
+Tests cause power losses, killed processes, delayed writes and failing disks.
+"""
 
 from random import Random
 
@@ -20,7 +23,7 @@
 
 
 class Writer:
-    """Carries a job out when asked for its outcome, unless it is held."""
+    """Runs a job when polled for its outcome, unless the machine's writer is held."""
 
     output, unsent = None, False
 
@@ -28,12 +31,12 @@
         self.machine, self.job = machine, None
 
     def start(self, job):
-        """Take a job."""
+        """Accept a job."""
         self.job = job
 
     def poll(self):
-        """The outcome of the job, which is carried out now; None while it is held."""
-        if self.job is None or self.machine.held:
+        """Run the job and return its outcome; None while the writer is held."""
+        if self.job is None or self.machine.writer_held:
             return None
         job, self.job = self.job, None
         return execute_job(self.machine.disk, job)
@@ -44,43 +47,43 @@
 
 
 class Machine:
-    """One front end's disk and boot mark."""
+    """One front end's disk and boot id file."""
 
     def __init__(self, place):
-        self.disk, self.held, self.boots, self.place = MemoryDisk(), False, 1, place
+        self.disk, self.writer_held, self.boots, self.place = MemoryDisk(), False, 1, place
         self.place.write_text("boot 1\n")
 
     def cut(self, seed=1, share=0.5):
-        """Lose power: of what was not synced a part is there, and it is another boot."""
+        """Lose power: a share of the unsynced writes survives, and the machine has another boot id."""
         self.disk = self.disk.reboot(Random(seed), share)
         self.boots += 1
         self.place.write_text(f"boot {self.boots}\n")
 
     def kill(self):
-        """Kill the process: the disk stays as it is."""
+        """Kill the process; the disk stays unchanged."""
         self.disk = self.disk.restart()
 
-    def fails(self, operations=10**6):
-        """Let so many operations of the disk fail from now on."""
+    def fail_operations(self, operations=10**6):
+        """Let the next disk operations fail."""
         self.disk.plan = Plan(fail_at=self.disk.count, fail_for=operations)
 
-    def works(self):
-        """Let the disk work again."""
+    def repair(self):
+        """Let disk operations succeed again."""
         self.disk.plan = Plan()
 
 
 class Site:
-    """Opens stores on its machines, by a member's name."""
+    """Machines by member name, and the stores opened on them."""
 
     def __init__(self, patch, folder):
-        self.now, self.folder, self.machines, self.notes = 1_000.0, folder, {}, []
+        self.now, self.folder, self.machines, self.log_events = 1_000.0, folder, {}, []
         patch.setattr(recovery_store, "open_store", self._open)
         patch.setattr(recovery_store, "monotonic_ms", lambda: self.now)
         patch.setattr(recovery_store, "unix_ms", lambda: 1e12 + self.now)
         patch.setattr(stored_promises, "monotonic_ms", lambda: self.now)
 
     def machine(self, name="n0"):
-        """The machine of a member, made when it is first asked for."""
+        """The machine of a member, created at first use."""
         if name not in self.machines:
             self.machines[name] = Machine(self.folder / f"boot-{name}")
         return self.machines[name]
@@ -98,19 +101,22 @@
         place = str(self.machine(name).place) if boot_file is None else boot_file
         settings = recovery_store.RecoveryStoreSettings(self.folder, "f", name, place, limits)
         kept = recovery_store.RecoveryStore(
-            settings, lambda what, more: self.notes.append((what, more)), fleet_is_new=fresh
+            settings, lambda what, more: self.log_events.append((what, more)), fleet_is_new=fresh
         )
         if settle:
             self.pump(kept)
         return kept
 
     def pump(self, kept, span_ms=0.0):
-        """Run a store until nothing is due, now or within a span."""
+        """Run a store until nothing is due now or within `span_ms`."""
         end = self.now + span_ms
         for _ in range(10_000):
             kept.store.advance(self.now)
             due = kept.store.due_ms()
-            if kept.store.core.job_in_progress and not self.machines[kept.store.core._header.name].held:
+            if (
+                kept.store.core.job_in_progress
+                and not self.machines[kept.store.core._header.name].writer_held
+            ):
                 continue
             if due is None or due > end:
                 break
@@ -119,20 +125,20 @@
 
 
 class StoreCores(Cores):
-    """Cores whose replicas have stores; `turn` lets their contents come to disk."""
+    """Replication cores whose replicas have stores; `flush_stores` writes their contents to disk."""
 
     def __init__(self, site, fresh=True, rules: ReplicationSettings = RULES):
         super().__init__(rules)
-        self.site, self.kepts, self.disks = site, {}, {}
+        self.site, self.stores, self.disks = site, {}, {}
         site.now = self.now
         for name in self.keepers:
             self._give(name, fresh)
             self.carry(name, [])
-        self.turn()
+        self.flush_stores()
 
     def _give(self, name, fresh=False):
-        self.kepts[name] = self.site.kept(name, fresh, settle=False)
-        self.disks[name] = self.kepts[name].open_grant_storage(self.cores[name], None)
+        self.stores[name] = self.site.kept(name, fresh, settle=False)
+        self.disks[name] = self.stores[name].open_grant_storage(self.cores[name], None)
 
     def carry(self, name, effects):
         """Carry out the effects of a front end, through its store."""
@@ -141,38 +147,38 @@
             effects = disk.persist(effects, lambda more: super(StoreCores, self).carry(name, more))
         super().carry(name, effects)
 
-    def turn(self, *names):
-        """Let the stores run until nothing is due."""
-        for _ in range(6):  # what one tells may have another write
-            for name in names or list(self.kepts):
+    def flush_stores(self, *names):
+        """Run the stores until nothing is due."""
+        for _ in range(6):  # a message of one may cause a write of another
+            for name in names or list(self.stores):
                 self.site.now = self.now
-                self.site.pump(self.kepts[name])
+                self.site.pump(self.stores[name])
 
     def wait(self, span_ms):
-        """Let time pass, with all stores running."""
+        """Advance the time while all stores run."""
         end = self.now + span_ms
         while self.now < end:
             super().wait(50.0)
-            self.turn()
+            self.flush_stores()
 
     def end_all(self, what, *names):
-        """End front ends at once, their machines as `what` says, and start them with what is on disk."""
+        """Stop front ends at once by the `Machine` method `what`, and restart them from their disks."""
         for name in names or list(self.cores):
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
             self.cores[name] = ReplicationCore(
                 name, self.cores[name].incarnation + 1, self.cores[name].membership, self.rules, self.now
             )
-            if name in self.kepts:
+            if name in self.stores:
                 self._give(name)
 
-    def sure(self, name):
-        """Whether a replica knows all that it promised."""
+    def knows_all_grants(self, name):
+        """Whether a replica knows all its grants."""
         return self.cores[name].replica.is_complete(self.now)
 
 
-def asks(cores, owner, keeper, key="k"):
-    """A replica's answer to a bare question, None while it gives none."""
+def request_claim(cores, owner, keeper, key="k"):
+    """Send a claim request to a replica; return a function that gives its reply, or None without one."""
     core, said = cores.cores[keeper], []
     ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].incarnation}", 1, core.placement.number, 0)
     line = msgspec.to_builtins(cores.cores[owner].log_line(m.Send((keeper,), ask)))
--- a/tests/support/power_losses.py
+++ b/tests/support/power_losses.py
@@ -1,4 +1,4 @@
-"""Real front ends whose machines lose their power: all killed at once, in another boot by its mark."""
+"""Real front end processes whose machines lose power: all are killed at once and restart in another boot."""
 
 import shutil
 
@@ -11,27 +11,27 @@
 from fawnwharf.testbed.topology import KINDS, TENANTS
 
 SETTLE = KINDS[2]  # at most once
-RULES = {"call_most_ms": 2_500.0, "window_ms": 4_000.0}  # as the lab has them
+RULES = {"call_most_ms": 2_500.0, "window_ms": 4_000.0}  # the values of the testbed
 WINDOW_MS = 1.2 * sum(RULES.values())
 
 
 def scenario():
-    """The lab's scenario that these runs are made from."""
+    """The testbed scenario from which these runs are derived."""
     found = scenarios.load("state-killed")
     zones = {zone: msgspec.structs.replace(spec, front_ends=1) for zone, spec in found.zones.items()}
     return msgspec.structs.replace(found, zones=zones, decide=True)
 
 
 class PowerFleet(Fleet):
-    """Three front ends, one in each zone, all replicas and voters; with a store each, or with files only."""
+    """Three front ends, one in each zone, all replicas and voters, with a recovery store or only files."""
 
     def __init__(self, seed, stores=True, **recovery):
-        """`recovery`: parts of `recovery.json`, over its defaults."""
+        """`recovery` has settings of `recovery.json` that replace the defaults."""
         super().__init__(scenario(), seed)
         self.stores, self.boot, self.recovery = stores, 1, recovery
 
     def start(self, front):
-        """Start a front end in the present boot."""
+        """Start a front end in the current boot."""
         (front.folder / "boot").write_text(f"{front.name} {self.boot}\n")
         recovery = {"version": 1, "folder": "durable", "boot_file": "boot", "fetches": 8, "scorer_rps": 50.0}
         recovery["boot_file"] = str((front.folder / "boot").resolve())
@@ -39,33 +39,34 @@
         super().start(front)
 
     def command(self, front):
-        """The command line, with recovery where there are stores."""
+        """The command line, with recovery if there are stores."""
         return super().command(front) + (["--recovery", "recovery.json"] if self.stores else [])
 
     def begin(self):
-        """Bootstrap the fleet and start all."""
+        """Bootstrap the fleet and start all front ends."""
         self.found()
         self.up()
 
     def up(self):
-        """Start all, until they are ready and their stores have settled."""
+        """Start all front ends; wait until they are ready and their stores have settled."""
         fronts = list(self.fronts.values())
         for front in fronts:
             self.start(front)
         self.until_ready(fronts, "all front ends")
         lives = len(fronts[0].lives)
-        if self.stores:  # one that is cut before its first start has written anything has an empty folder
+        if self.stores:  # a power loss before the first start has written would leave an empty folder
             self.until(lambda: all(self.settled(front, lives) for front in fronts), "stores to settle")
 
     def settled(self, front, lives):
-        """Whether the log of this incarnation is there, and with it all that the start wrote."""
+        """Whether the log file of this incarnation exists, and with it all writes of the start."""
         logs = [int(path.stem[4:]) for path in (front.folder / "durable").glob("log-*.seg")]
         return max(logs, default=0) >= lives
 
     def cut(self):
-        """Cut the power of all at once.
+        """Cut the power of all front ends at once.
 
-        A file is of no use in another boot, and is removed, as the mark of the boot can't be set.
+        Replica files without a store are invalid in another boot. As their boot id can't be set here, the
+        files are removed instead.
         """
         for front in self.fronts.values():
             if front.process is not None:
@@ -78,7 +79,9 @@
 
     def ask(self, zone="a"):
         """Make an at-most-once call from a zone."""
-        self.clients._down.clear()  # their probes go with a load of their own, which there is none of
+        # Otherwise clients keep avoiding front ends that were down: the testbed's load, which
+        # probes them, does not run here.
+        self.clients._down.clear()
         return self.clients._ask(SETTLE, zone, TENANTS[0], self.clients.functions[0])
 
     def again(self, request, zone):
@@ -89,9 +92,9 @@
         return twin
 
     def outcome(self, request, zone):
-        """The outcome of the same call, made from a zone until it is not refused.
+        """Repeat a call from a zone until it is not refused, and return its outcome.
 
-        Logs have to come up first.
+        It may be refused until the logs are connected.
         """
         twins = []
 
@@ -104,12 +107,12 @@
         return twins[-1].outcome
 
     def runs(self, request):
-        """How often a call came to a scorer that did not turn it away."""
+        """How often a call reached a scorer that did not reject it."""
         mine = [one for one in self.arrivals if one.id == request.call_id]
         return sum((one.what == "run") - (one.what == "turned") for one in mine)
 
     def running(self):
-        """A call that runs at a scorer now; earlier ones may have come before all was up."""
+        """Return a call that runs at a scorer; earlier ones may have failed while the fleet started."""
         asked = [self.ask()]
 
         def runs():
@@ -121,7 +124,7 @@
         return asked[-1]
 
     def served(self, what, within_s=40.0):
-        """Make calls until one is served; when, in ms of the monotonic clock."""
+        """Make calls until one is served; return when, in ms of the monotonic clock."""
         asked = [self.ask()]
 
         def good():
@@ -133,10 +136,7 @@
         return asked[-1].ended_ms
 
     def back(self):
-        """Cut the power and start all again: how long an at-most-once call takes to be served, in ms.
-
-        The time counts from when all are ready.
-        """
+        """Cut the power and restart all; return the ms from readiness until a call is served."""
         self.served("the fleet to serve")
         self.cut()
         self.up()
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -1,4 +1,4 @@
-"""Recovery admission in virtual time: a real timer wheel, and answers of all others by the test."""
+"""Recovery admission in virtual time, with a real timer wheel; the test supplies all answers."""
 
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.requests import Call, Rejected
@@ -18,33 +18,33 @@
     ),
     "view": ClassSpec("view", latency_target_ms=1_000.0, effect=Effect.IDEMPOTENT, priority_weight=1.0),
 }
-WORTHS = {name: spec.priority_weight for name, spec in CLASSES.items()}
+WEIGHTS = {name: spec.priority_weight for name, spec in CLASSES.items()}
 LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
 
 
-class Words:
-    """Stands for `PermitIssuer`: its answers are set by the test."""
+class FakePermitIssuer:
+    """Replaces `PermitIssuer`; the test sets its answers."""
 
     def __init__(self):
-        self.places, self.etas, self.free, self.wanted, self.asked = {}, {}, {}, [], []
+        self.copy_scorers, self.etas, self.free, self.requested_copies, self.asked = {}, {}, {}, [], []
 
     def place(self, function):
         """The scorer of a function's copy, if it is set."""
-        return self.places.get(function)
+        return self.copy_scorers.get(function)
 
     def eta_ms(self, now, function):
-        """When a copy may stand, in milliseconds."""
+        """The milliseconds until a copy is expected."""
         return self.etas.get(function, 300.0)
 
     def request_copy(self, now, request):
-        """Note a load request."""
-        self.wanted.append((request.function, request.weight_ps, request.class_name))
+        """Record a load request."""
+        self.requested_copies.append((request.function, request.weight_ps, request.class_name))
 
     def request_permit(self, now, scorer, key):
-        """The answer set for a scorer: 0 to send, else milliseconds to wait, or None for later."""
+        """The answer set for a scorer: 0 for a permit, a wait in milliseconds, or None for a later answer."""
         found = self.free.get(scorer, 0.0)
         if found is None:
             self.asked.append(key)
@@ -56,37 +56,37 @@
             self.asked.remove(key)
 
 
-class Ground:
-    """The admission under test, and the table below it."""
+class AdmissionHarness:
+    """The admission under test, and its request sink."""
 
-    def __init__(self, stage=RecoveryPhase.ALL_CALLS, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.ALL_CALLS, rate_ps=1e6, claims=None, limits=LIMITS, **more):
         self.now = 0.0
         self.timers = TimerWheel(lambda: self.now)
-        self.issuer, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
+        self.issuer, self.calls, self.withdrawn, self.replies_at_once = FakePermitIssuer(), {}, [], False
         self.admission = RecoveryAdmission(
-            self.timers, self, AdmissionSettings(CLASSES, limits), promises, lambda: self.now
+            self.timers, self, AdmissionSettings(CLASSES, limits), claims, lambda: self.now
         )
         self.numbers, self.taken, self.passed = 0, 0, set()
-        self.go_by(stage, rate_ps, **more)
-        self.pass_by(1_000.0)  # so that there is a burst to be let in
+        self.apply_phase(stage, rate_ps, **more)
+        self.advance_ms(1_000.0)  # so that the rate limiter allows a burst
 
-    def go_by(self, stage, rate_ps=1e6, **more):
-        """Go by a phase, or by what is allowed."""
-        may = allowed_in_phase(stage, WORTHS) if isinstance(stage, RecoveryPhase) else stage
+    def apply_phase(self, stage, rate_ps=1e6, **more):
+        """Apply a phase, or permissions given directly."""
+        may = allowed_in_phase(stage, WEIGHTS) if isinstance(stage, RecoveryPhase) else stage
         self.admission.apply(may, rate_ps, self.issuer)
 
-    def pass_by(self, ms):
-        """Let milliseconds pass."""
+    def advance_ms(self, ms):
+        """Advance the time by milliseconds."""
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 4.0)
             self.timers.advance()
 
     def take(self, call):
-        """Take a call, as the table below; fails for a call taken twice."""
+        """Accept a call as the request sink; fails if the same call is passed on twice."""
         assert call.id not in self.passed, "a call twice"
         self.passed.add(call.id)
-        if self.at_once:
+        if self.replies_at_once:
             call.reply(Rejected(9.0))
             return None
         self.taken += 1
@@ -95,11 +95,11 @@
         return key
 
     def withdraw(self, key):
-        """Note a withdrawal."""
+        """Record a withdrawal."""
         self.withdrawn.append(key)
 
     def ask(self, class_name="view", function="f", budget_ms=2_000.0, token=""):
-        """Make a call: its key, and a list for its outcome."""
+        """Make a call; return its key and the list that receives its outcome."""
         self.numbers += 1
         got = []
         call = Call(
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -1,6 +1,6 @@
-"""Agents of recovery at real members of zones, in virtual time.
+"""Recovery agents on real zone members, in virtual time.
 
-Messages go by their logs, decisions by the consensus log, and power losses happen.
+Messages travel through the members' logs and decisions through the consensus log. Tests cause power losses.
 """
 
 import random
@@ -27,18 +27,18 @@
 from support.zone_fleet import ZoneFleet
 
 STEP_S = 0.02
-WORTHS = {"view": 1.0, "save": 5.0}
+WEIGHTS = {"view": 1.0, "save": 5.0}
 TIMING = PhaseTiming(settle_ms=3_000.0)
 
 
 class Agents(ZoneFleet):
-    """Members with an agent of recovery each."""
+    """Members with one recovery agent each."""
 
     def __init__(self, zones="abcab", seed=1, lost=0.0, late_ms=0.0):
         self.agents, self.chance, self.lost, self.late_ms = {}, random.Random(seed), lost, late_ms
-        self.marks, self.lives, self.whole = {}, {}, {}
-        self.standing, self.trail, self.noted, self.signed = {}, [], [], []
-        self.due = []  # words of state under way
+        self.boots, self.incarnations, self.complete_stores = {}, {}, {}
+        self.status_reports, self.applied_phases, self.log_events, self.reported_positions = {}, [], [], []
+        self.in_transit = []  # replication messages in transit
         super().__init__(members(zones, 3), seed)
 
     @property
@@ -46,87 +46,88 @@
         """The names of all members."""
         return [entry.name for entry in self.file.members]
 
-    def own(self, name, sign=None):
-        """What a member knows of itself."""
+    def local_status(self, name, sign=None):
+        """The status that a member's agent is given."""
         core = self.cores[name]
         votes = core.voter is not None
         plan = PlanVersion(core.voter.saved.last_index if votes else 0, "")
         return LocalStatus(
-            True, self.whole.get(name, True), True, votes, plan,
-            sign or FolderPosition(name, self.lives[name], 1), True, True, True, 1, self.standing.get(name),
+            True, self.complete_stores.get(name, True), True, votes, plan,
+            sign or FolderPosition(name, self.incarnations[name], 1), True, True, True, 1,
+            self.status_reports.get(name),
         )  # fmt: skip
 
     def start(self, name, identity, seed=99):
         """Start a member and its agent."""
         super().start(name, identity, seed)
-        self.lives[name] = self.lives.get(name, 0) + 1
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
         voters = tuple(entry.name for entry in self.file.voters)
         lists = MemberLists(tuple(self.names), voters, voters, 1, "d")
         core = self.cores[name]
-        identity = AgentIdentity(name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"))
-        settings = AgentSettings(WORTHS, TIMING, QueryPace(), 100.0, 150.0)
+        identity = AgentIdentity(name, "f", self.incarnations[name], self.boots.setdefault(name, "boot 1"))
+        settings = AgentSettings(WEIGHTS, TIMING, QueryPace(), 100.0, 150.0)
         self.agents[name] = RecoveryAgent(
-            identity, settings, lists, core.consensus_status, self.own(name), self.now
+            identity, settings, lists, core.consensus_status, self.local_status(name), self.now
         )
 
     # --- power ----------------------------------------------------------------------------------
 
     def end(self, *names):
-        """End members without notice."""
+        """Stop members abruptly and drop their messages in transit."""
         for name in names:
             self.dead.add(name)
-            self.due = [word for word in self.due if name not in word[1:3]]
+            self.in_transit = [word for word in self.in_transit if name not in word[1:3]]
 
-    def begin(self, mark, *names):
-        """Start members again, in a boot with this mark, or in the same one for an empty mark."""
+    def begin(self, boot, *names):
+        """Restart members in a boot with this id, or in the same boot if the id is empty."""
         for name in names:
-            self.marks[name] = mark or self.marks[name]
+            self.boots[name] = boot or self.boots[name]
             self.start(name, f"{name}#0", seed=self.chance.randrange(1_000))
 
-    def power_loss(self, mark, *names):
-        """End members and start them in another boot."""
+    def power_loss(self, boot, *names):
+        """Stop members and restart them in another boot."""
         self.end(*(names or self.names))
         self.run(0.1)
-        self.begin(mark, *(names or self.names))
+        self.begin(boot, *(names or self.names))
 
-    # --- what is carried ------------------------------------------------------------------------
+    # --- effects --------------------------------------------------------------------------------
 
     def do(self, name, effects):
-        """Carry out the effects of a member's core."""
+        """Carry out the effects of a zone member, and pass recovery messages on to its agent."""
         super().do(name, effects)
         agent = self.agents.get(name)
         for effect in effects:
             if isinstance(effect, MessagesReceived) and effect.client == RECOVERY:
                 for data in effect.messages:
-                    self.act(
+                    self.carry_out(
                         name, agent.receive_by_zones(self.now, effect.sender, w.recovery_message_from(data))
                     )
             elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
-                self.act(name, agent.decided(self.now, effect.text))
+                self.carry_out(name, agent.decided(self.now, effect.text))
         if agent is not None:
-            self.act(name, agent.update_term(self.now))
+            self.carry_out(name, agent.update_term(self.now))
 
-    def act(self, name, effects):
+    def carry_out(self, name, effects):
         """Carry out the effects of a member's agent."""
         core = self.cores[name]
         for effect in effects:
             if isinstance(effect, SendMessage) and effect.by_zones:
-                self._say_by_zones(name, effect)
+                self._send_by_zones(name, effect)
             elif isinstance(effect, SendMessage):
-                self._say_by_state(name, effect)
+                self._send_by_replication(name, effect)
             elif isinstance(effect, ProposeRegister):
                 put, more = core.propose_register(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
                     self.agents[name].proposal_dropped()
             elif isinstance(effect, ApplyPhase):
-                self.trail.append((name, effect.phase, effect.power_loss, effect.allowed))
+                self.applied_phases.append((name, effect.phase, effect.power_loss, effect.allowed))
             elif isinstance(effect, PositionReported):
-                self.signed.append((name, effect.position))
+                self.reported_positions.append((name, effect.position))
             elif isinstance(effect, LogEvent):
-                self.noted.append((name, effect.event, effect.fields))
+                self.log_events.append((name, effect.event, effect.fields))
 
-    def _say_by_zones(self, name, effect):
+    def _send_by_zones(self, name, effect):
         line = self.cores[name].state.make_line(
             messages=[ClientMessage(msgspec.to_builtins(effect.message), effect.to, RECOVERY)]
         )
@@ -135,44 +136,44 @@
             if other != name and voter and self.chance.random() >= self.lost:
                 self.send(name, other, line, False)
 
-    def _say_by_state(self, name, effect):
+    def _send_by_replication(self, name, effect):
         for to in effect.to:
             if self.chance.random() >= self.lost:
                 delay = 2.0 + self.chance.random() * self.late_ms
-                self.due.append((self.now + delay, name, to, msgspec.json.encode(effect.message)))
+                self.in_transit.append((self.now + delay, name, to, msgspec.json.encode(effect.message)))
 
     def run(self, seconds):
-        """Let seconds pass."""
+        """Advance the virtual time by seconds."""
         for _ in range(round(seconds / STEP_S)):
             super().run(STEP_S)
-            due = [word for word in self.due if word[0] <= self.now]
-            self.due = [word for word in self.due if word[0] > self.now]
-            for _, sender, to, data in due:
+            in_transit = [word for word in self.in_transit if word[0] <= self.now]
+            self.in_transit = [word for word in self.in_transit if word[0] > self.now]
+            for _, sender, to, data in in_transit:
                 if to not in self.dead:
                     word = w.recovery_message_from(msgspec.json.decode(data))
-                    self.act(to, self.agents[to].receive_by_replication(self.now, sender, word))
+                    self.carry_out(to, self.agents[to].receive_by_replication(self.now, sender, word))
             for name in self.up:
                 if self.now >= self.agents[name].due_ms(self.now - 1000.0 * STEP_S):
-                    self.act(name, self.agents[name].tick(self.now, self.own(name)))
+                    self.carry_out(name, self.agents[name].tick(self.now, self.local_status(name)))
             self.check()
         return self
 
     def check(self):
-        """Whoever goes by a register of one number goes by the same one."""
-        stages = {n: a.follower.register for n, a in self.agents.items() if a.follower.register}
+        """Check that all agents with the same register number follow the same register."""
+        phases = {n: a.follower.register for n, a in self.agents.items() if a.follower.register}
         by_number = {}
-        for register in stages.values():
+        for register in phases.values():
             assert by_number.setdefault(register.number, register) == register
 
-    # --- looks ----------------------------------------------------------------------------------
+    # --- observations ---------------------------------------------------------------------------
 
     @property
     def up(self):
-        """The members that are up."""
+        """The members that are running."""
         return [name for name in self.names if name not in self.dead]
 
-    def stages(self, names=None):
-        """The phases by which members go."""
+    def phases(self, names=None):
+        """The phases that the members follow."""
         return {self.agents[name].phase(self.now) for name in names or self.up}
 
     def until(self, condition, seconds=40.0):
@@ -181,20 +182,20 @@
             if condition():
                 return self
             self.run(STEP_S)
-        raise AssertionError(f"waited in vain: {self.trail[-8:]} {self.noted[-8:]}")
+        raise AssertionError(f"condition not met in time: {self.applied_phases[-8:]} {self.log_events[-8:]}")
 
-    def until_stage(self, stage, names=None, cut=None):
-        """Run until members go by this phase, and know of so many power losses."""
+    def until_phase(self, stage, names=None, cut=None):
+        """Run until the members follow this phase and, with `cut`, this power loss number."""
 
         def there():
             by = [self.agents[name] for name in names or self.up]
-            return self.stages(names) == {stage} and all(cut in (None, agent.power_loss) for agent in by)
+            return self.phases(names) == {stage} and all(cut in (None, agent.power_loss) for agent in by)
 
         return self.until(there)
 
     @property
     def leader(self):
-        """The member that leads; None where none does."""
+        """The member that leads; None if there is none."""
         found = [
             n
             for n in self.up
@@ -202,10 +203,10 @@
         ]
         return found[0] if found else None
 
-    def calm(self):
-        """Run until the fleet is in its normal state and all boots are noted."""
+    def until_normal(self):
+        """Run until the fleet is in normal operation and all boots are recorded."""
         self.until(lambda: all(len(self.cores[n].voter.saved.voters) == 3 for n in self.names[:3]))
-        self.until_stage(RecoveryPhase.NORMAL)
+        self.until_phase(RecoveryPhase.NORMAL)
         self.until(lambda: all(agent.queries_done for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].leader.coordinator.register.boots) == 3)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -1,4 +1,4 @@
-"""Front ends with recovery in this thread: real sockets, real folders, boot marks in files."""
+"""Front ends with recovery that run in the test's thread, with real sockets, folders and boot id files."""
 
 import time
 
@@ -23,7 +23,7 @@
 
 
 class Node(policy_front_ends.Node):
-    """One front end: its files, and what runs of it."""
+    """One front end: its files and its running parts."""
 
     def __init__(self, site, n, zone):
         super().__init__(site, n, zone)
@@ -31,11 +31,11 @@
         self.boot(1)
 
     def boot(self, number):
-        """Set the mark of its machine's boot."""
+        """Set its machine's boot id."""
         (self.folder / "boot").write_text(f"boot {number}\n")
 
     def start(self, fresh=False):
-        """Start, or start again with the files that are there."""
+        """Start or restart with the existing files."""
         event = {"seq": 1, "fleet": {"complete": True, "members": [self.scorer.member(locality=self.zone)]}}
         deployment = deployment_from(
             {
@@ -72,24 +72,24 @@
 
     @property
     def agent(self):
-        """Its agent of recovery."""
+        """Its recovery agent."""
         return self.part.running.agent
 
     def stage(self):
-        """The phase by which it goes."""
+        """The phase that it follows."""
         return self.agent.phase(time.monotonic() * 1000.0)
 
     def stages(self):
-        """The power losses and phases by which it went, each once."""
-        bootstrap = []
+        """The power losses and phases that it went through, without consecutive repeats."""
+        phases = []
         for fields in self.noted("recovery phase"):
-            if not bootstrap or bootstrap[-1] != (fields["power_loss"], fields["phase"]):
-                bootstrap.append((fields["power_loss"], fields["phase"]))
-        return bootstrap
+            if not phases or phases[-1] != (fields["power_loss"], fields["phase"]):
+                phases.append((fields["power_loss"], fields["phase"]))
+        return phases
 
 
 class Site(policy_front_ends.Site):
-    """Three front ends, one in each zone, with all that they read."""
+    """Three front ends, one in each zone, with their files."""
 
     patience_s = 40.0
 
@@ -114,19 +114,19 @@
             node.start(fresh)
 
     def begin(self):
-        """Start a new fleet, until it is in its normal state and its boots are noted."""
+        """Start a new fleet; wait for normal operation and until its boots are recorded."""
         self.start(fresh=True)
         self.until(
             lambda: all(
                 node.stage() is RecoveryPhase.NORMAL and node.agent.queries_done for node in self.nodes
             ),
-            "calm",
+            "normal operation",
         )
         noted = lambda: any(len(n.agent.leader.coordinator.register.boots) == 3 for n in self.nodes)  # noqa: E731
-        self.until(noted, "boots are noted")
+        self.until(noted, "boots are recorded")
 
     def power_loss(self, number, nodes=None):
-        """Close front ends and set their machines to another boot."""
+        """Close front ends and set another boot id on their machines."""
         for node in nodes or self.nodes:
             node.close()
         for node in nodes or self.nodes:
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -1,7 +1,7 @@
-"""Front ends that divide load permits by a register, in virtual time.
+"""Front ends whose load permits are assigned by a register, in virtual time.
 
-Some are told of a later register as late as may be, and go by the one before meanwhile; from `VALID` of that
-time on at half the budget.
+Some receive a later register as late as is possible and follow the previous one meanwhile. After the fraction
+`VALID_FRACTION` of that time they use half the budget.
 """
 
 from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
@@ -10,92 +10,109 @@
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.recovery_service.permit_messages import LoadRequest
 from fawnwharf.replication.placement import rendezvous_weight
-from support.load_permits import LIMITS, WORTHS, Fleet
+from support.load_permits import LIMITS, WEIGHTS, Fleet
 from support.recovery_agents import STEP_S, Agents
 
-WORD_MS, VALID = 1_500.0, 0.4
-OPEN_MS = 1_000.0  # `worth` is entered
-REST = allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
+ANNOUNCEMENT_MS, VALID_FRACTION = 1_500.0, 0.4
+FIRST_ASSIGNMENT_MS = 1_000.0  # start of the phase `PRIORITY_CALLS`
+FULL_PERMISSIONS = allowed_in_phase(RecoveryPhase.ALL_CALLS, WEIGHTS)
 
 
-class DealtFleet(Fleet):
-    """`word_ms` is the wait that front ends reckon with; others go by a register for `WORD_MS` more."""
+class AssignedPermitFleet(Fleet):
+    """Front ends that follow permit assignments of a register.
 
-    def __init__(self, seed=1, lost=0.0, word_ms=WORD_MS):
-        self.word_ms, self.goes, self.dealt = word_ms, {}, PermitAssignment(("n0",), 1, 0)
+    They assume that others follow an old register for `announcement_ms`; in fact it is `ANNOUNCEMENT_MS`.
+    """
+
+    def __init__(self, seed=1, lost=0.0, announcement_ms=ANNOUNCEMENT_MS):
+        self.announcement_ms, self.followed, self.assignment = (
+            announcement_ms,
+            {},
+            PermitAssignment(("n0",), 1, 0),
+        )
         super().__init__(seed, lost=lost)
-        self.at(OPEN_MS, self._deal)
+        self.at(FIRST_ASSIGNMENT_MS, self._assign_permits)
 
     def start(self, name):
         """Start a front end."""
         super().start(name)
-        self.fronts[name].announcement_valid_ms = self.word_ms
+        self.fronts[name].announcement_valid_ms = self.announcement_ms
 
     def _changed(self, new=None):
-        """Tell one that starts of the last register, and decide a new one a little after a loss."""
+        """Send the last register to a starting front end; decide a new one shortly after one stops."""
         if new is not None:
-            self.goes[new] = (AllowedActions(), None)
-            self.at(self.chance.uniform(0.0, 100.0), lambda: self._told(new, self.dealt))
-        elif self.dealt.deals:
-            self.at(self.chance.uniform(50.0, 300.0), self._deal)
-
-    def _deal(self):
-        keepers = tuple(name for name in self.keepers if name in self.up)
-        if keepers and not (self.dealt.deals and set(self.dealt.givers) <= self.up):
-            before, self.dealt = self.dealt, PermitAssignment(keepers, 1, self.dealt.deals + 1)
+            self.followed[new] = (AllowedActions(), None)
+            self.at(self.chance.uniform(0.0, 100.0), lambda: self._receive_assignment(new, self.assignment))
+        elif self.assignment.deals:
+            self.at(self.chance.uniform(50.0, 300.0), self._assign_permits)
+
+    def _assign_permits(self):
+        replicas = tuple(name for name in self.replicas if name in self.up)
+        if replicas and not (self.assignment.deals and set(self.assignment.givers) <= self.up):
+            before, self.assignment = (
+                self.assignment,
+                PermitAssignment(replicas, 1, self.assignment.deals + 1),
+            )
             for name in sorted(self.up):
                 late = self.chance.random() < 0.4
-                delay = self.chance.uniform(0.8, 1.0) * WORD_MS if late else self.chance.uniform(0.0, 100.0)
+                delay = (
+                    self.chance.uniform(0.8, 1.0) * ANNOUNCEMENT_MS
+                    if late
+                    else self.chance.uniform(0.0, 100.0)
+                )
                 if late and before.deals:
-                    self.at(VALID * WORD_MS, lambda name=name: self._stale(name, before))
-                self.at(delay, lambda name=name, dealt=self.dealt: self._told(name, dealt))
+                    self.at(VALID_FRACTION * ANNOUNCEMENT_MS, lambda name=name: self._stale(name, before))
+                self.at(
+                    delay,
+                    lambda name=name, assignment=self.assignment: self._receive_assignment(name, assignment),
+                )
 
     def _stale(self, name, before):
-        if name in self.up and self.goes[name][1] == before:
-            self.goes[name] = (allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS, 0.5), before)
+        if name in self.up and self.followed[name][1] == before:
+            self.followed[name] = (allowed_in_phase(RecoveryPhase.ALL_CALLS, WEIGHTS, 0.5), before)
 
-    def _told(self, name, dealt):
-        known = self.goes[name][1]
-        if name in self.up and (known is None or known.deals < dealt.deals):
-            self.goes[name] = (REST if dealt.deals else AllowedActions(), dealt)
-            self._go(name)
+    def _receive_assignment(self, name, assignment):
+        known = self.followed[name][1]
+        if name in self.up and (known is None or known.deals < assignment.deals):
+            self.followed[name] = (FULL_PERMISSIONS if assignment.deals else AllowedActions(), assignment)
+            self._update(name)
 
-    def _go(self, name):
-        may, dealt = self.goes[name]
-        self.fronts[name].update(self.now, self.up, self.keepers, may, 1, dealt)
+    def _update(self, name):
+        allowed, assignment = self.followed[name]
+        self.fronts[name].update(self.now, self.up, self.replicas, allowed, 1, assignment)
 
-    def _turns(self):
+    def _tick(self):
         for name in sorted(self.up):
-            self._go(name)
-        super()._turns()
+            self._update(name)
+        super()._tick()
 
-    def gives(self, name):
-        """Whether a front end hands out permits."""
-        return name in self.up and self.goes[name][0].loads
+    def may_issue(self, name):
+        """Whether a front end may issue permits."""
+        return name in self.up and self.followed[name][0].loads
 
 
-class GivingAgents(Agents):
-    """Agents that hand out permits as well; messages and answers come with the next step."""
+class PermitIssuingAgents(Agents):
+    """Agents that also issue permits; messages and answers arrive in the next step."""
 
     def __init__(self, *args, **kwargs):
         self.issuer, self.orders, self.entered = {}, [], {}
         super().__init__(*args, **kwargs)
 
     def start(self, name, identity, seed=99):
-        """Start a member, its agent, and what it hands out."""
+        """Start a member, its agent and its permit issuer."""
         super().start(name, identity, seed)
         order = lambda function: sorted(range(3), key=lambda s: rendezvous_weight(str(s), function))  # noqa: E731
-        self.issuer[name] = PermitIssuer(name, self.lives[name], LIMITS, order)
+        self.issuer[name] = PermitIssuer(name, self.incarnations[name], LIMITS, order)
 
     def run(self, seconds):
-        """Let seconds pass, while each member that may load wants thirty functions."""
+        """Advance the time by seconds while each member that may load requests thirty functions."""
         for _ in range(round(seconds / STEP_S)):
             super().run(STEP_S)
             for name in sorted(self.up):
                 agent, issuer = self.agents[name], self.issuer[name]
-                may, dealt = agent.allowed(self.now), agent.follower.permit_assignment(self.now)
-                issuer.update(self.now, self.up, agent.lists.replicas, may, agent.power_loss, dealt)
-                if may.loads and not may.spill:
+                allowed, assignment = agent.allowed(self.now), agent.follower.permit_assignment(self.now)
+                issuer.update(self.now, self.up, agent.lists.replicas, allowed, agent.power_loss, assignment)
+                if allowed.loads and not allowed.spill:
                     self.entered.setdefault(name, self.now)
                     for n in range(30):
                         issuer.request_copy(self.now, LoadRequest(f"f{n}", "view", 1.0))
