--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -43,7 +43,7 @@
 
 TICK_MS = 50.0
 NORMAL_TICK_MS = 250.0
-PARTITIONED_PERMIT_USE_MS = 2_000.0  # loads and calls with permits issued while partitioned end within this
+PARTITIONED_PERMIT_USE_MS = 2_000.0  # loads and calls with permits of a partitioned member end within this
 
 
 class _LeaderDelay(NamedTuple):
--- a/fawnwharf/recovery_service/agent_queries.py
+++ b/fawnwharf/recovery_service/agent_queries.py
@@ -7,7 +7,7 @@
 from fawnwharf.recovery_service.agent_settings import AgentIdentity, AgentSettings
 from fawnwharf.recovery_service.recovery_leader import MemberLists
 
-CHANGE_LOG = "change log"  # stands for a member in roster queries, though it is none
+CHANGE_LOG = "change log"  # recipient of roster queries in the place of a member name
 
 
 def create_startup_queries(
--- a/fawnwharf/recovery_service/local_load_requests.py
+++ b/fawnwharf/recovery_service/local_load_requests.py
@@ -67,7 +67,7 @@
             request.due_ms = due_ms
 
     def due_ms(self, function: str) -> float | None:
-        """When the coordinator expects a copy; None if it has not told."""
+        """When the coordinator expects a copy; None if it has not reported that."""
         request = self._requests.get(function)
         return None if request is None else request.due_ms
 
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -133,7 +133,7 @@
         self.sink: RequestSink = self.table
 
     def scorer_seen(self, scorer: int, up_ms: float, _now_ms: float) -> None:
-        """Take that a scorer came up."""
+        """Record that a scorer came up."""
         self.table.notify(io.RosterChanged([io.ScorerEntry(scorer, up_since_ms=up_ms)], False))
 
 
@@ -163,7 +163,7 @@
         table.before_decision = lambda events: network.carry_out(self, self.gate.events(queue.now_ms, events))
 
     def scorer_seen(self, scorer: int, up_ms: float, now_ms: float) -> None:
-        """Take that a scorer came up."""
+        """Record that a scorer came up."""
         super().scorer_seen(scorer, up_ms, now_ms)
         self.issuer.scorer_seen(now_ms, scorer, now_ms - up_ms)
 
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -148,21 +148,21 @@
         self._store.release(StateKind.GRANT)
         return restored_all
 
-    def _restore_claim(self, now_ms: float, name: str, promise: RecoveredGrant) -> bool:
-        claim = msgspec.convert(promise.claim, Claim)
+    def _restore_claim(self, now_ms: float, name: str, grant: RecoveredGrant) -> bool:
+        claim = msgspec.convert(grant.claim, Claim)
         key = name.split("/", 2)[2]
         age_ms = OTHER_BOOT_AGE_MS
-        if promise.since_ms is not None:
-            age_ms = min(OTHER_BOOT_AGE_MS, promise.age_ms + promise.since_ms)
+        if grant.since_ms is not None:
+            age_ms = min(OTHER_BOOT_AGE_MS, grant.age_ms + grant.since_ms)
         else:  # store it again with times of this boot's clock
-            self._store.keep(StateKind.GRANT, name, [promise.remaining_ms, age_ms, claim])
+            self._store.keep(StateKind.GRANT, name, [grant.remaining_ms, age_ms, claim])
         claims = self._replica.claim_store
         entry = claims.get_or_create(now_ms, key)
         if entry is None:
             return False
-        claims.merge(now_ms, key, entry, claim, promise.remaining_ms)
+        claims.merge(now_ms, key, entry, claim, grant.remaining_ms)
         entry.created_ms = min(entry.created_ms, now_ms - age_ms)
-        self._note_stored(name, claim, now_ms + promise.remaining_ms)
+        self._note_stored(name, claim, now_ms + grant.remaining_ms)
         return True
 
     def _note_stored(self, name: str, claim: Claim, until_ms: float) -> None:
