--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -1,11 +1,13 @@
-"""All clients at once at front ends that have just returned, in virtual time.
+"""Simulates a burst of calls from all clients to front ends that have just restarted, in virtual time.
 
-`python -m fawnwharf.recovery_service.simulation [pairs]` runs pairs with load coordinators, slow start
-coordinators and admission, and with the decision module alone, and prints means and differences.
+`python -m fawnwharf.recovery_service.simulation [pairs]` runs pairs of simulations. One run of each pair uses
+load coordinators, slow start coordinators and admission; the other uses only the decision module. It prints
+means and differences.
 
-Real are the decision module, `PermitIssuer`, `RecoveryAdmission` and `LoadOrderGate`; simplified are scorers,
-the store and messages (1 to 5 ms). Left out: the claim gate, zones, phases (the last before renewal holds all
-the time), that a loaded store slows down, and scorers' queues beyond their lanes.
+The decision module, `PermitIssuer`, `RecoveryAdmission` and `LoadOrderGate` are the real ones. Scorers, the
+model store and messages (1 to 5 ms) are simplified. Not simulated are the claim gate, zones, most phases
+(`RETRIES` until the burst, then `ALL_CALLS`), the slowdown of a loaded store, and scorers' queues beyond
+their lanes.
 """
 
 import random
@@ -38,16 +40,16 @@
 FRONT_ENDS = 6
 SCORERS = 6
 FUNCTIONS = 60
-CALM_RPS = 60.0
+STEADY_RPS = 60.0
 BEGIN_MS = 10_000.0
 BURST_MS = 13_000.0
-CALLS = 240  # of the burst
-CALM_SECONDS = 20
-ATTEMPTS = 3  # of a client, at most
+CALLS = 240  # in the burst
+STEADY_SECONDS = 20
+ATTEMPTS = 3  # most attempts of a client for one call
 END_MS = 33_000.0
 WHEEL_MS = 4.0
 
-STUDENT_T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # by pairs
+STUDENT_T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # two-sided 95 % quantiles by number of pairs
 
 Figures = dict[str, float]
 
@@ -60,7 +62,7 @@
     }
     return io.Settings(
         classes=classes,
-        quotas_rps={"t": CALM_RPS},
+        quotas_rps={"t": STEADY_RPS},
         fleet_size=FRONT_ENDS,
         max_attempts=2,
         max_retry_after_ms=4_000.0,
@@ -68,7 +70,7 @@
 
 
 class Simulation:
-    """One run."""
+    """One simulation run."""
 
     def __init__(self, seed: int, *, coordinated: bool) -> None:
         self.queue = EventQueue(BEGIN_MS)
@@ -115,8 +117,8 @@
 
     def _plan_calls(self) -> None:
         times = [BURST_MS + self.random.uniform(0.0, 1_000.0) for _ in range(CALLS)]
-        calm = int(CALM_RPS * CALM_SECONDS)
-        times += [BURST_MS + self.random.uniform(0.0, END_MS - BURST_MS) for _ in range(calm)]
+        steady_calls = int(STEADY_RPS * STEADY_SECONDS)
+        times += [BURST_MS + self.random.uniform(0.0, END_MS - BURST_MS) for _ in range(steady_calls)]
         rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
         functions = self.random.choices(list(self.functions), rates, k=len(times))
         for n, (at_ms, function) in enumerate(zip(times, functions, strict=True)):
@@ -139,13 +141,13 @@
 
     def _follow(self, front_end: CoordinatedFrontEnd, phase: RecoveryPhase) -> None:
         names = [front_end.name for front_end in self.front_ends]
-        front_end.reach(self.queue.now_ms, names, allowed_in_phase(phase, PRIORITY_WEIGHTS))
-        self._pace(front_end)
+        front_end.set_reachable(self.queue.now_ms, names, allowed_in_phase(phase, PRIORITY_WEIGHTS))
+        self._set_admitted_rate(front_end)
 
-    def _pace(self, front_end: CoordinatedFrontEnd) -> None:
+    def _set_admitted_rate(self, front_end: CoordinatedFrontEnd) -> None:
         fleet_rps = self.limits.fall_multiple * self.limits.calls_rps(self.scorers.ages_ms())
         phase = RecoveryPhase.ALL_CALLS if self.queue.now_ms >= BURST_MS else RecoveryPhase.RETRIES
-        front_end.pace(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
+        front_end.set_admitted_rate(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
 
     def _tick(self) -> None:
         self.queue.after(TICK_MS, self._tick)
@@ -153,7 +155,7 @@
         for front_end in self.coordinated:
             self.carry_out(front_end, front_end.issuer.tick(now_ms))
             if int(now_ms / TICK_MS) % 10 == 0:
-                self._pace(front_end)
+                self._set_admitted_rate(front_end)
 
     def _advance_wheels(self) -> None:
         self.queue.after(WHEEL_MS, self._advance_wheels)
@@ -187,7 +189,7 @@
     def _call(self, client: str, function: str, attempts_left: int) -> None:
         times = self.functions[function]
         kind = FUNCTION_KINDS[times.class_name]
-        promise_ms, give_up_ms, weight = kind[1], kind[2], kind[3]
+        latency_target_ms, give_up_ms, weight = kind[1], kind[2], kind[3]
         called_ms = self.queue.now_ms
         if attempts_left == ATTEMPTS:
             self.calls += 1
@@ -201,7 +203,7 @@
             ended = True
             if not isinstance(outcome, Succeeded):
                 self._retry(outcome, client, function, attempts_left)
-            elif self.queue.now_ms - called_ms <= promise_ms:
+            elif self.queue.now_ms - called_ms <= latency_target_ms:
                 self.in_time += 1
                 self.weight_in_time += weight
 
@@ -225,7 +227,7 @@
 
 
 def figures(run: Simulation) -> Figures:
-    """What is compared."""
+    """The figures of one run that are compared."""
     store = run.scorers.store
     return {
         "fetches, worst second": max(store.by_second.values(), default=0),
@@ -240,7 +242,7 @@
 
 
 def main(pairs: int) -> None:
-    """Run the pairs and print means, differences with their 95 % intervals, and the worst."""
+    """Run the pairs; print means, differences with 95 % confidence intervals, and worst values."""
     seeds = range(1, pairs + 1)
     alone = [figures(Simulation(seed, coordinated=False).run()) for seed in seeds]
     coordinated = [figures(Simulation(seed, coordinated=True).run()) for seed in seeds]
