--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -21,7 +21,7 @@
 # Ignored for all tests by tests/ruff.toml, which gives the reason.
 MISSING_DOCSTRINGS = {"D100", "D101", "D102", "D103", "D104", "D106"}
 # Lower these with each exemption that is removed; never raise them.
-MAX_EARLIER_EXEMPTIONS = 7
+MAX_EARLIER_EXEMPTIONS = 6
 MAX_WIDER_EXEMPTIONS = 56
 # Raise this with each package that is added to the type checker's list; never lower it.
 MIN_TYPE_CHECKED = 19
