--- a/fawnwharf/prefetch/__init__.py
+++ b/fawnwharf/prefetch/__init__.py
@@ -1,4 +1,4 @@
-"""Prefetch: predicts which sessions will move between zones, and has copies loaded there before. Pure.
+"""Prefetch: predicts which sessions will move to another zone, and has copies loaded there in advance.
 
-Times are milliseconds of the monotonic clock and are handed in.
+The package does no I/O and reads no clock: callers pass times in milliseconds of the monotonic clock.
 """
--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -1,9 +1,10 @@
-"""Baseline strategies that the prefetcher is compared with in running front ends: the setting `mode`. Pure.
+"""Baseline strategies that the prefetcher is compared with in running front ends (setting `mode`). No I/O.
 
-*none* prefetches nothing. *react* prefetches a zone's sessions once it is out or back. *everything* keeps a
-copy of each live session at every zone, refreshed before it expires. *oracle* is told each move in advance
-from a file, for trials only. All use the same load rate limit, choice of orderer and paces as the prefetcher,
-except that *oracle* has no pace and none reserves a part of the limit for calls.
+*none* prefetches nothing. *react* prefetches the copies of a zone's sessions after the zone goes out of
+service or returns. *everything* keeps a copy for each live session in every zone and refreshes it before it
+expires. *oracle* reads each future move from a file; it is for trials only. All strategies use the same load
+rate limit, fetch rates and choice of the ordering front end as the prefetcher, with two exceptions: *oracle*
+has no limit on its fetch rate, and no strategy reserves a part of the load rate limit for calls.
 """
 
 import heapq
@@ -24,15 +25,15 @@
 from fawnwharf.zones.settings import SettingsFileError
 
 MAX_QUEUE = 20_000
-RENEW_PART = 0.75  # of an idle life: by then what stands idle is renewed
-LEAD_MS = 500.0  # by which the oracle's loads are ready before they are needed
+REFRESH_FRACTION = 0.75  # fraction of a copy's idle life after which it is refreshed
+ORACLE_LEAD_MS = 500.0  # the oracle's loads finish this long before the call
 SESSIONS_PER_SLICE = 100
 ORDERS_PER_SLICE = 20
-MAX_LINES = 200_000
+MAX_KNOWN_MOVES = 200_000
 
 
 class KnownMove(Struct, frozen=True):
-    """A line of the oracle's file: from `at_ms` (Unix) on the session's calls go to another zone."""
+    """A line of the oracle's file: from Unix time `at_ms`, the session's calls go to zone `destination`."""
 
     at_ms: Annotated[float, Meta(ge=0.0)]
     org: Identifier
@@ -41,13 +42,13 @@
 
 
 def parse_known_moves(data: bytes) -> list[KnownMove]:
-    """Parse JSON lines; raises FileFault, which names the line."""
+    """Parse JSON lines; raises SettingsFileError, which names the faulty line."""
     found: list[KnownMove] = []
     for n, line in enumerate(data.splitlines(), 1):
         if not line.strip():
             continue
-        if len(found) >= MAX_LINES:
-            raise SettingsFileError(f"foresight.told: line {n}: more than {MAX_LINES}")
+        if len(found) >= MAX_KNOWN_MOVES:
+            raise SettingsFileError(f"foresight.told: line {n}: more than {MAX_KNOWN_MOVES} moves")
         try:
             found.append(msgspec.json.decode(line, type=KnownMove))
         except (msgspec.DecodeError, RecursionError) as error:
@@ -56,7 +57,7 @@
 
 
 class BaselineStrategies:
-    """Owns what is to be ordered, and when each was ordered."""
+    """Holds the queue of copies to order, and the time of the last order of each."""
 
     def __init__(
         self,
@@ -67,32 +68,32 @@
         belongs: HomeZone,
         sites: Callable[[], Sequence[str]],
     ) -> None:
-        """`sites`: those with a scorer that takes calls."""
+        """`sites` returns the zones that have a scorer accepting calls."""
         self.sites = sites
         self.bounds, self.watch, self.destination, self.belongs = bounds, watch, destination, belongs
         self.idle_ms = site.idle_life_ms
         self.fleet_size = site.fleet_size
         self.dropped = 0
         self._queue: dict[tuple[str, str], None] = {}
-        self._asked: dict[tuple[str, str], float] = {}
-        self._out: frozenset[str] = frozenset()
-        self._told: list[tuple[float, str, str]] = []
-        self._turn: list[Session] = []  # sessions that are yet to be looked at, of all
-        self._fleet, self._pace = TokenBucket(bounds.fetches_ps), TokenBucket(bounds.pace_ps)
+        self._ordered_at_ms: dict[tuple[str, str], float] = {}
+        self._previous_out: frozenset[str] = frozenset()
+        self._known_moves: list[tuple[float, str, str]] = []
+        self._unvisited: list[Session] = []  # sessions not yet visited in this round
+        self._fleet_bucket, self._own_bucket = TokenBucket(bounds.fetches_ps), TokenBucket(bounds.pace_ps)
 
     def fetches(self, rate_ps: float) -> None:
-        """Set the fleet's rate of fetches."""
-        self._fleet.rate_ps = rate_ps
+        """Set the fleet's fetch rate, in fetches per second."""
+        self._fleet_bucket.rate_ps = rate_ps
 
     def foretold(self, now_ms: float, unix_ms: float, moves: list[KnownMove]) -> None:
-        """Take all that is known of future moves; it replaces what was told before."""
-        self._told = [(one.at_ms - unix_ms + now_ms, one.row, one.destination) for one in moves]
-        heapq.heapify(self._told)
+        """Replace the known future moves."""
+        self._known_moves = [(one.at_ms - unix_ms + now_ms, one.row, one.destination) for one in moves]
+        heapq.heapify(self._known_moves)
 
     def look(self, now_ms: float, view: PlannerView, out: frozenset[str]) -> Slices[list[m.AssignedOrder]]:
-        """One pass, in slices: the orders of the strategy that is set.
+        """Run one pass in slices and return the orders of the configured strategy.
 
-        `out` are the zones without service.
+        `out` contains the zones that are out of service.
         """
         mode = self.bounds.mode
         if mode == "react":
@@ -101,11 +102,11 @@
             yield from self._everything(now_ms, out)
         elif mode == "oracle":
             self._oracle(now_ms, view)
-        self._out = out
+        self._previous_out = out
         yield
         return (yield from self._order(now_ms, view))
 
-    def _want(self, row: str, site: str) -> None:
+    def _enqueue(self, row: str, site: str) -> None:
         if len(self._queue) >= MAX_QUEUE and (row, site) not in self._queue:
             self.dropped += 1
         else:
@@ -113,13 +114,13 @@
 
     def _react(self, out: frozenset[str]) -> Slices[None]:
         watch, most = self.watch, 4 * self.bounds.most
-        for site in sorted(out - self._out):
+        for site in sorted(out - self._previous_out):
             for n, session in enumerate(watch.here.get(site, SessionGroup()).busiest(most)):
                 if n % SESSIONS_PER_SLICE == SESSIONS_PER_SLICE - 1:
                     yield
                 for target, _ in self.destination(session, site):
-                    self._want(session.row, target)
-        for site in sorted(self._out - out):
+                    self._enqueue(session.row, target)
+        for site in sorted(self._previous_out - out):
             back = watch.left.get(site, SessionGroup()).busiest(most)
             back |= dict.fromkeys(one for one in watch.tracks.latest(most) if self.belongs(one) == site)
             for n, session in enumerate(back):
@@ -127,39 +128,39 @@
                     yield
                 track = watch.tracks.get(session)
                 if track is not None and track.site != site:
-                    self._want(session.row, site)
+                    self._enqueue(session.row, site)
 
     def _everything(self, now_ms: float, out: frozenset[str]) -> Slices[None]:
-        if not self._turn:
-            self._turn = list(self.watch.tracks)
+        if not self._unvisited:
+            self._unvisited = list(self.watch.tracks)
         sites = [site for site in self.sites() if site not in out]
-        for n in range(min(len(self._turn), 4 * self.bounds.most)):
+        for n in range(min(len(self._unvisited), 4 * self.bounds.most)):
             if n % SESSIONS_PER_SLICE == SESSIONS_PER_SLICE - 1:
                 yield
-            session = self._turn.pop()
+            session = self._unvisited.pop()
             track = self.watch.tracks.get(session)
             if track is None:
                 continue
             for site in sites:
                 key = (session.row, site)
-                late = now_ms - self._asked.get(key, -self.idle_ms) >= RENEW_PART * self.idle_ms
-                if site != track.site and late:
-                    self._want(*key)
+                due = now_ms - self._ordered_at_ms.get(key, -self.idle_ms) >= REFRESH_FRACTION * self.idle_ms
+                if site != track.site and due:
+                    self._enqueue(*key)
 
     def _oracle(self, now_ms: float, view: PlannerView) -> None:
-        while self._told:
-            at_ms, row, site = self._told[0]
+        while self._known_moves:
+            at_ms, row, site = self._known_moves[0]
             facts = view.facts(row)
             load_ms = facts.load_ms if facts else 1_000.0
-            if at_ms - 1.5 * load_ms - LEAD_MS > now_ms + self.bounds.beat_ms:
+            if at_ms - 1.5 * load_ms - ORACLE_LEAD_MS > now_ms + self.bounds.beat_ms:
                 return
-            heapq.heappop(self._told)
-            if at_ms + LEAD_MS >= now_ms:
-                self._want(row, site)
+            heapq.heappop(self._known_moves)
+            if at_ms + ORACLE_LEAD_MS >= now_ms:
+                self._enqueue(row, site)
 
     def _order(self, now_ms: float, view: PlannerView) -> Slices[list[m.AssignedOrder]]:
         share = fetch_shares(view, self.fleet_size)
-        left = min(self._fleet.left(now_ms) / share, self._pace.left(now_ms))
+        left = min(self._fleet_bucket.left(now_ms) / share, self._own_bucket.left(now_ms))
         free = self.bounds.mode == "oracle"
         ration, found = view.ration, []
         for n, key in enumerate(list(self._queue)):
@@ -182,15 +183,15 @@
             if scorer is None:
                 continue
             del self._queue[key]
-            self._asked.pop(key, None)
-            self._asked[key] = now_ms
-            if len(self._asked) > 5 * MAX_QUEUE:
-                del self._asked[next(iter(self._asked))]
+            self._ordered_at_ms.pop(key, None)
+            self._ordered_at_ms[key] = now_ms
+            if len(self._ordered_at_ms) > 5 * MAX_QUEUE:
+                del self._ordered_at_ms[next(iter(self._ordered_at_ms))]
             ration -= 1.0
             if fetch and not free:
                 left -= 1.0
-                self._fleet.tokens -= share
-                self._pace.tokens -= 1.0
+                self._fleet_bucket.tokens -= share
+                self._own_bucket.tokens -= 1.0
             found.append(
                 m.AssignedOrder(PrefetchOrder(row, site, 1, self.idle_ms, self.bounds.mode), (scorer,))
             )
--- a/fawnwharf/prefetch/copy_value.py
+++ b/fawnwharf/prefetch/copy_value.py
@@ -1,8 +1,8 @@
-"""Worth and cost of a prefetched copy, in mean calls' worth. Pure.
+"""Value and cost of a prefetched copy, in units of the value of a mean call. No I/O.
 
-A call that waits for a load may be late: it then earns its class's late share, and nothing once its client
-has given up. A copy that stands spares it that wait, and the load that it would have begun itself, so that
-the fetch is lost only where the session does not come.
+A call that waits for a load may miss its latency target: it then earns its class's late share, and nothing
+after its deadline. A loaded copy saves the call this wait and the load that the call would have started
+itself. The fetch is therefore wasted only if the session does not come.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class FunctionProfile(Struct, frozen=True):
-    """What is known of a function: megabytes of a copy, milliseconds of a load and of a run, its class."""
+    """What is known about a function: its class, the memory of a copy, and the times of a load and a run."""
 
     class_name: str
     memory_mb: float
@@ -24,7 +24,7 @@
 
 
 def mean_worth(classes: Mapping[str, ClassSpec], shares: Mapping[str, float] | None = None) -> float:
-    """The mean worth of a call, by the share of each class in the calls (absent: equal shares)."""
+    """Return the mean priority weight of a call, given each class's share of the calls (default: equal)."""
     parts = {name: (shares or {}).get(name, 0.0 if shares else 1.0) for name in classes}
     total = sum(parts.values())
     mean = (
@@ -36,10 +36,10 @@
 
 
 def waiting_loss(spec: ClassSpec, facts: FunctionProfile, rate_ps: float, slack: float = 1.0) -> float:
-    """What a session's calls lose while the first one waits for a load, in units of a call of worth 1.
+    """Return the value that a session's calls lose during a load, in units of a call of priority weight 1.
 
-    The first call comes as the load begins, the others at `rate_ps`; a call that comes t into it waits for
-    the rest. `slack` is how much longer loads take than usual.
+    The first call arrives when the load begins, and the others follow at `rate_ps`. A call that arrives t ms
+    after the load began waits for the rest of it. `slack` is the factor by which loads are slower.
     """
     load_ms = slack * facts.load_ms
     wait = load_ms + facts.run_ms
@@ -52,15 +52,15 @@
 
 
 def unused_load_cost(settings: PrefetchSettings, prices: Prices, facts: FunctionProfile) -> float:
-    """The cost of a load that serves nothing: the fetch, and the core time it takes."""
+    """Return the cost of a load that serves no call: the fetch and the core time."""
     return prices.origin + prices.waste * settings.core_part * facts.load_ms / max(1.0, facts.run_ms)
 
 
 class IdleCopy(Struct, frozen=True):
-    """For how long a copy stands idle, and what it takes from the fleet meanwhile.
+    """How long a copy is idle, and what it takes from the fleet during that time.
 
-    `displaced` is the part of a copy in use that is displaced: its next call is then late, at the price of
-    this copy's fetch.
+    `displaced` is the fraction of a copy in use that it evicts. The next call of the evicted copy is late and
+    needs a fetch.
     """
 
     idle_ms: float
@@ -76,7 +76,7 @@
     chance: float,
     idle: IdleCopy,
 ) -> float:
-    """The price of one copy that is used with probability `chance`."""
+    """Return the expected cost of one copy that is used with probability `chance`."""
     lost = (1.0 - chance) * unused_load_cost(settings, prices, facts)
     part = facts.memory_mb / max(1.0, idle.fleet_memory_mb)
     room = prices.memory * part * idle.fleet_calls_ps * idle.idle_ms / 1000.0
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -110,7 +110,7 @@
     def _look(self, now: float, turned: list[ZoneChange], firsts: list[tuple[float, str, str]]) -> None:
         world = self.world
         self.live = {s: held for s, held in self.live.items() if now - held[1] < 10_000.0}
-        world.waits = [until for until in world.waits if until > now]
+        world.waits_until_ms = [until for until in world.waits_until_ms if until > now]
         if self.way == "react":
             self._react(turned)
         elif self.way == "everything":
@@ -170,7 +170,7 @@
     def _view(self, now: float) -> PlannerView:
         world = self.world
         left, most = world.ration(now)
-        waiting = len(world.waits)
+        waiting = len(world.waits_until_ms)
         return PlannerView(
             me="a",
             heard=("a", "b")[:1],
@@ -200,9 +200,9 @@
         "1 s": window.service(1),
         "5 s": window.service(5),
         "20 s": window.service(20),
-        "found": window.found / max(1, window.firsts),
+        "found": window.found / max(1, window.first_calls),
         "fetches": float(tally.fetches),
-        "staged": float(tally.stages),
+        "staged": float(tally.prefetch_loads),
         "wasted": float(tally.wasted),
         "result": tally.price(prices, RUN_MS),
     }
