--- a/fawnwharf/prefetch/lru_map.py
+++ b/fawnwharf/prefetch/lru_map.py
@@ -1,8 +1,8 @@
-"""A map in order of last use that is cheap for the garbage collector. Pure.
+"""A map in order of last use that is cheap for the garbage collector.
 
-It consists of chunks, dicts of about a thousand entries each. The collector would walk all entries of an
-OrderedDict, and finding the first entry of a single dict means skipping all that were removed before it. Keys
-and values that the collector does not track leave it nothing to walk here.
+The map consists of chunks: dicts of about a thousand entries each. The garbage collector would traverse all
+entries of an OrderedDict, and finding the first entry of a single dict means skipping all entries removed
+before it. If the collector does not track the keys and values, it has nothing to traverse here.
 """
 
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 class Indexed(Protocol):
-    """A value of the map; `chunk_index` belongs to the map and tells the chunk that the entry is in."""
+    """A value of the map; the map sets `chunk_index` to the chunk that holds the entry."""
 
     chunk_index: int
 
@@ -23,7 +23,7 @@
 
 
 class LruMap(Generic[Key, Value]):
-    """The map: the least recently used entry comes first."""
+    """A map that iterates from the least to the most recently used entry."""
 
     def __init__(self) -> None:
         self._values: dict[Key, Value] = {}
@@ -37,18 +37,18 @@
         return key in self._values
 
     def __iter__(self) -> Iterator[Key]:
-        """Keys, the least recently used first."""
+        """Iterate over the keys, the least recently used first."""
         return chain.from_iterable(self._chunks.values())
 
     def __getitem__(self, key: Key) -> Value:
         return self._values[key]
 
     def get(self, key: Key) -> Value | None:
-        """The value of a key, or None; this is no use of it."""
+        """Return the value of a key, or None; does not count as a use."""
         return self._values.get(key)
 
     def use(self, key: Key, value: Value) -> None:
-        """Make the entry, new or not, the one most recently used."""
+        """Add the entry or make an existing one the most recently used."""
         if key in self._values:
             self._remove_from_chunk(key, value)
         else:
@@ -61,18 +61,18 @@
         value.chunk_index = self._last_index
 
     def pop(self, key: Key) -> Value | None:
-        """Remove an entry and return its value; None where there is none."""
+        """Remove an entry and return its value, or None if there is none."""
         value = self._values.pop(key, None)
         if value is not None:
             self._remove_from_chunk(key, value)
         return value
 
     def oldest(self) -> Key | None:
-        """The key least recently used; None for an empty map."""
+        """Return the least recently used key, or None if the map is empty."""
         return next(iter(self), None)
 
     def latest(self, limit: int) -> dict[Key, None]:
-        """At most `limit` keys, the most recently used first."""
+        """Return at most `limit` keys, the most recently used first."""
         chunks = (reversed(chunk) for chunk in reversed(self._chunks.values()))
         return dict.fromkeys(islice(chain.from_iterable(chunks), limit))
 
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -1,6 +1,6 @@
-"""Messages and results of the prefetcher, beyond those in `sites`. Values alone.
+"""Messages and result types of the prefetcher.
 
-Times are milliseconds of the sender's monotonic clock and are never compared with another machine's.
+Times are milliseconds of the sender's monotonic clock and are never compared with another machine's clock.
 """
 
 from collections.abc import Collection
@@ -11,11 +11,11 @@
 from fawnwharf.session_types import DurationMs, Fraction, Identifier, PrefetchOrder, Session
 
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
-MAX_ENTRIES = 500  # of one word: a line that is longer is a fault, or an attack
+MAX_ENTRIES = 500  # counters in one message; a longer one is an error or an attack
 
 
 class CallCounter(Struct, frozen=True, array_like=True, gc=False):
-    """Calls of a session at a zone that one owner counted since its message with the number `since`."""
+    """Calls of a session in a zone that one front end counted since its message number `since`."""
 
     session: Session
     site: Identifier
@@ -24,10 +24,9 @@
 
 
 class CounterMessage(Struct, frozen=True):
-    """Counters of one owner that rose since its last message.
+    """Counters of one front end that increased since its last message.
 
-    Each entry is the counter's value, so that a lost message is made up for by the next one with that
-    session.
+    Each entry is the counter's total, so the next message with that session compensates for a lost one.
     """
 
     number: Annotated[int, Meta(ge=1, le=1 << 31)]
@@ -35,16 +34,16 @@
 
 
 class PlanStep(Struct, frozen=True):
-    """From `in_ms` after the plan was told, this part of a zone is open."""
+    """`in_ms` after the plan is announced, the fraction `open` of a zone accepts sessions."""
 
     in_ms: DurationMs
     open: Fraction
 
 
 class AnnouncedPlan(Struct, frozen=True):
-    """What is to become of a zone: a drain, a return in steps, or standby.
+    """An announced change of a zone: a drain, a return in steps, or standby.
 
-    A later plan of the same zone has a larger number; one without steps cancels what was announced.
+    A later plan of the same zone has a larger number; a plan without steps cancels the previous one.
     """
 
     site: Identifier
@@ -54,17 +53,14 @@
 
 
 class AssignedOrder(Struct, frozen=True):
-    """A prefetch order, and the scorers that are to load a copy each.
-
-    They come in the order in which calls will look.
-    """
+    """A prefetch order, and the scorers that load one copy each, in the load order of the calls."""
 
     stage: PrefetchOrder
     scorers: tuple[Identifier, ...]
 
 
 class SessionMoved(Struct, frozen=True, gc=False):
-    """A session's calls are found at another zone than before, first at `at_ms`."""
+    """A session's calls go to another zone than before, starting at `at_ms`."""
 
     session: Session
     source: Identifier
@@ -73,7 +69,7 @@
 
 
 class SessionEnded(Struct, frozen=True, gc=False):
-    """A session had no calls for so long that it counts as over; `age_ms` is how long it lasted."""
+    """A session ended because it made no calls for too long; `age_ms` is how long it lasted."""
 
     session: Session
     site: Identifier
@@ -81,7 +77,7 @@
 
 
 class SessionCalls(Protocol):
-    """The calls of a session at a zone."""
+    """The calls of a session in a zone."""
 
     session: Session
     site: str
@@ -92,4 +88,4 @@
 
     moved: tuple[SessionMoved, ...] = ()
     ended: tuple[SessionEnded, ...] = ()
-    called: Collection[SessionCalls] = ()  # sessions and the sites at which they called
+    called: Collection[SessionCalls] = ()  # sessions with the zones that they called
