--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -1,9 +1,9 @@
-"""Plans prefetch orders: ranks expected moves by value for price, within four budgets. Pure.
+"""Plans prefetch orders: ranks expected moves by value per cost, within four budgets. No I/O.
 
-A greedy knapsack over what is handed in. For each function and zone one front end orders, chosen by
-rendezvous hashing over those that are heard (Thaler and Ravishankar 1998); when it is gone, the next one
-takes over. Two that hear different members may both order, which costs one order, as copies that stand are
-counted.
+The planner is a greedy knapsack over its inputs. For each function and zone, one front end orders. It is
+chosen by rendezvous hashing over the reachable front ends (Thaler and Ravishankar 1998); when it fails, the
+next one takes over. Two front ends that reach different members may both order. This costs only one extra
+order, as loaded copies are counted.
 """
 
 import math
@@ -26,20 +26,20 @@
 from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 
-MAX_HELD = 4_096  # stages of one front end
-AWAY_MS = 500.0  # a stage's load may end so much before its calls come
-MAX_RELEASED = 20_000
-MAX_SPAN_MS = 3_600_000.0  # of an order: what the message may say
+MAX_HELD = 4_096  # prefetched (function, zone) pairs of one front end
+AWAY_MS = 500.0  # a prefetch load may end this long before its calls come
+MAX_RELEASED = 20_000  # remembered releases
+MAX_SPAN_MS = 3_600_000.0  # longest duration that an order message may contain
 CALLS_PER_SLICE = 400
-WISHES_PER_SLICE = 12
-MAX_HASH_ORDERS = 64  # that are computed in one pass
+DEMANDS_PER_SLICE = 12
+MAX_LOAD_ORDERS = 64  # load orders computed in one pass
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldCopies:
     until_ms: float
     since_ms: float
-    by: dict[str, float]  # predictors, by their parts
+    by: dict[str, float]  # predictor -> its share of the chance
     sessions: frozenset[Session]
     price: float
     gain: float
@@ -48,8 +48,8 @@
 
 
 @dataclass(slots=True)
-class _Wish:
-    """Expected moves to one zone that copies of one function would serve."""
+class _Demand:
+    """Expected moves to one zone whose sessions use one function."""
 
     moves: list[PredictedMove] = field(default_factory=list)
 
@@ -63,62 +63,61 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """Copies that are worth ordering, with their value for the price."""
+    """Copies that are worth ordering, with their value per cost."""
 
     value: float
     copies: int
-    held: _Held
+    held: _HeldCopies
     key: tuple[str, str]  # function, zone
     chance: float
 
 
 @dataclass(slots=True)
 class _Budgets:
-    """What is left of the four budgets within one pass."""
+    """What is left of the four budgets during one pass."""
 
     fetches: float
-    orders: float  # of the load rate limit
-    spare_mb: dict[str, float] = field(default_factory=dict)  # by zone
-    cold_room: dict[str, float] = field(default_factory=dict)  # by scorer
+    orders: float  # load orders within the load rate limit
+    spare_mb: dict[str, float] = field(default_factory=dict)  # zone -> free memory
+    cold_room: dict[str, float] = field(default_factory=dict)  # scorer -> loads that it may still take
 
 
 class Planner:
-    """Owns the orders of one front end, the copies it has had loaded, and their use."""
+    """Owns the orders of one front end, and tracks the copies loaded for them and their use."""
 
     def __init__(
         self, settings: PrefetchSettings, site: Settings, prices: Prices, scores: PredictionScores
     ) -> None:
         self.settings, self.site, self.prices, self.scores = settings, site, prices, scores
-        self.held: dict[tuple[str, str], _Held] = {}
+        self.held: dict[tuple[str, str], _HeldCopies] = {}
         self.skipped: dict[str, int] = {}
         self.ordered = self.used = self.wasted = 0
-        self._fleet = TokenBucket(settings.fetches_ps)
-        self._pace = TokenBucket(settings.pace_ps)
-        self._rests: dict[tuple[str, str], float] = {}  # let go: until when
-        self._quiet_ms = -math.inf
-        self._disturbed: dict[str, float] = {}
+        self._fleet_bucket = TokenBucket(settings.fetches_ps)
+        self._own_bucket = TokenBucket(settings.pace_ps)
+        self._dwell_until_ms: dict[
+            tuple[str, str], float
+        ] = {}  # released (function, zone) -> end of its dwell time
+        self._quiet_until_ms = -math.inf
+        self._disturbed_at_ms: dict[str, float] = {}
         self._mean = mean_worth(site.classes)
 
     def go_by(self, settings: PrefetchSettings) -> None:
-        """Use other settings of the same shape from now on."""
-        self.settings, self._fleet.rate_ps = settings, settings.fetches_ps
+        """Replace the settings."""
+        self.settings, self._fleet_bucket.rate_ps = settings, settings.fetches_ps
 
     def shares(self, calls: dict[str, float]) -> None:
-        """Take the number of calls by class, for the mean worth of a call."""
+        """Update the mean worth of a call from the number of calls by class."""
         self._mean = mean_worth(self.site.classes, calls) if sum(calls.values()) > 0 else self._mean
 
     def _skip(self, cause: str) -> None:
         self.skipped[cause] = self.skipped.get(cause, 0) + 1
 
     def seen(self, now_ms: float, beat: m.ScanResult) -> list[PrefetchRelease]:
-        """Mark prefetched copies that are used, and release those whose time is over.
-
-        Predictors are scored.
-        """
+        """Record the use of prefetched copies, release expired ones, and score their predictors."""
         return run_slices(self.marking(now_ms, beat))
 
     def marking(self, now_ms: float, beat: m.ScanResult) -> Slices[list[PrefetchRelease]]:
-        """The same as `seen`, in slices."""
+        """Do the same as `seen`, in slices."""
         for n, calls in enumerate(beat.called if self.held else ()):
             if n % CALLS_PER_SLICE == CALLS_PER_SLICE - 1:
                 yield
@@ -132,7 +131,7 @@
             if now_ms >= held.until_ms:
                 self.wasted += 1
                 self._settle(now_ms, key, -held.price)
-                self._rest(now_ms, key)
+                self._start_dwell(now_ms, key)
                 gone.append(PrefetchRelease(*key))
         return gone
 
@@ -143,10 +142,7 @@
         view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> list[m.AssignedOrder | PrefetchRelease]:
-        """The orders of this pass, and the copies that are released.
-
-        `rate_ps` gives a session's calls a second.
-        """
+        """Return the orders and releases of one pass; `rate_ps` returns a session's calls per second."""
         return run_slices(self.planning(now_ms, moves, view, rate_ps))
 
     def planning(
@@ -156,73 +152,75 @@
         view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
-        """The same as `step`, in slices."""
+        """Do the same as `step`, in slices."""
         self._note_disturbances(now_ms, view)
         found: list[m.AssignedOrder | PrefetchRelease] = [*self._release_for_calls(now_ms, view)]
-        if now_ms < self._quiet_ms:
+        if now_ms < self._quiet_until_ms:
             self._skip("not calm")
             return found
         yield
-        wishes = yield from self._wishes(moves)
-        candidates = yield from self._rank(now_ms, wishes, view, rate_ps)
-        return found + (yield from self._take(now_ms, candidates, view))
+        demands = yield from self._group_demands(moves)
+        candidates = yield from self._rank(now_ms, demands, view, rate_ps)
+        return found + (yield from self._order_candidates(now_ms, candidates, view))
 
     def _note_disturbances(self, now_ms: float, view: PlannerView) -> None:
         for site in view.disturbed:
-            self._disturbed[site] = now_ms
-        self._disturbed = {s: t for s, t in self._disturbed.items() if now_ms - t < self.settings.quiet_ms}
+            self._disturbed_at_ms[site] = now_ms
+        self._disturbed_at_ms = {
+            s: t for s, t in self._disturbed_at_ms.items() if now_ms - t < self.settings.quiet_ms
+        }
         if not view.calm:
-            self._quiet_ms = now_ms + self.settings.quiet_ms
+            self._quiet_until_ms = now_ms + self.settings.quiet_ms
 
     def _release_for_calls(self, now_ms: float, view: PlannerView) -> list[PrefetchRelease]:
-        """Unused copies that make room for calls: all of them in a surge, else those at disturbed zones."""
+        """Release unused copies to make room for calls: all in a surge, else those in disturbed zones."""
         found = []
         for key in list(self.held):
             if not view.calm or key[1] in view.disturbed:
-                self._settle(now_ms, key, 0.0)  # nobody's fault
-                self._rest(now_ms, key)
+                self._settle(now_ms, key, 0.0)  # no predictor is charged
+                self._start_dwell(now_ms, key)
                 found.append(PrefetchRelease(*key))
         return found
 
-    def _wishes(self, moves: Sequence[PredictedMove]) -> Slices[dict[tuple[str, str], _Wish]]:
-        """The moves by function and zone, without those to disturbed zones."""
-        wishes: dict[tuple[str, str], _Wish] = {}
+    def _group_demands(self, moves: Sequence[PredictedMove]) -> Slices[dict[tuple[str, str], _Demand]]:
+        """Group the moves by function and zone, without the moves to disturbed zones."""
+        demands: dict[tuple[str, str], _Demand] = {}
         for n, move in enumerate(moves):
             if n % CALLS_PER_SLICE == CALLS_PER_SLICE - 1:
                 yield
-            if move.destination in self._disturbed:
+            if move.destination in self._disturbed_at_ms:
                 self._skip("a disturbed site")
             else:
-                wishes.setdefault((move.session.row, move.destination), _Wish()).moves.append(move)
-        return wishes
+                demands.setdefault((move.session.row, move.destination), _Demand()).moves.append(move)
+        return demands
 
     def _rank(
         self,
         now_ms: float,
-        wishes: dict[tuple[str, str], _Wish],
+        demands: dict[tuple[str, str], _Demand],
         view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> Slices[list[_Candidate]]:
-        """What is worth ordering, the best value for the price first."""
+        """Return the candidates that are worth ordering, the best value per cost first."""
         candidates = []
-        for n, (key, wish) in enumerate(wishes.items()):
-            if n % WISHES_PER_SLICE == WISHES_PER_SLICE - 1:
+        for n, (key, demand) in enumerate(demands.items()):
+            if n % DEMANDS_PER_SLICE == DEMANDS_PER_SLICE - 1:
                 yield
-            candidate = self._weigh(now_ms, key, wish, view, rate_ps)
+            candidate = self._evaluate(now_ms, key, demand, view, rate_ps)
             if candidate is not None:
                 candidates.append(candidate)
         candidates.sort(key=lambda one: (-one.value, one.key))
         return candidates
 
-    def _weigh(
+    def _evaluate(
         self,
         now_ms: float,
         key: tuple[str, str],
-        wish: _Wish,
+        demand: _Demand,
         view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> _Candidate | None:
-        """What to order for a wish; None where this front end has nothing to order, or it is not worth it."""
+        """Return what to order for a demand; None if another front end orders, or it is not worth it."""
         row, site = key
         facts = view.facts(row)
         spec = self.site.classes.get(facts.class_name) if facts else None
@@ -232,8 +230,8 @@
         old = self.held.get(key)
         if ordering_front_end(row, site, view.heard) != view.me or not self._due(now_ms, old):
             return None
-        chance = wish.chance
-        rate = sum({move.session: move.probability * rate_ps(move.session) for move in wish.moves}.values())
+        chance = demand.chance
+        rate = sum({move.session: move.probability * rate_ps(move.session) for move in demand.moves}.values())
         standing = view.standing(row, site)
         needed = max(1, math.ceil(rate * facts.run_ms / 1000.0 / max(1, facts.lanes)))
         copies = min(self.settings.copies, needed) - (0 if old is not None else standing)
@@ -241,76 +239,76 @@
             return None
         gain = waiting_loss(spec, facts, rate / max(chance, 1e-9), self.settings.slack) / self._mean
         if old is not None and standing >= copies:
-            price = copies * self.prices.probe  # what it was fetched for is spent either way
+            price = copies * self.prices.probe  # the fetch is already paid
         else:
-            price = copies * self._price(wish, facts, chance, site, view)
+            price = copies * self._price(demand, facts, chance, site, view)
         if not self._pays(now_ms, key, chance, chance * gain, price):
             self._skip("not worth it")
             return None
-        held = self._held_for(now_ms, wish, facts, copies, gain)
+        held = self._record_held(now_ms, demand, facts, copies, gain)
         if old is not None:
             held.renewed, held.price = old.renewed + 1, old.price + copies * self.prices.probe
         return _Candidate(chance * gain / max(price, 1e-6), copies, held, key, chance)
 
-    def _due(self, now_ms: float, old: _Held | None) -> bool:
-        """Whether to order copies: none are held, or they are to be refreshed, `renewals` times at most."""
+    def _due(self, now_ms: float, old: _HeldCopies | None) -> bool:
+        """Return whether to order: nothing is held, or it expires soon and may still be refreshed."""
         if old is None:
             return True
         soon = old.until_ms - now_ms <= 2 * self.settings.beat_ms
         return soon and old.renewed < self.settings.renewals
 
-    def _life_ms(self, facts: FunctionProfile) -> float:
+    def _copy_life_ms(self, facts: FunctionProfile) -> float:
         return max(self.site.idle_life_ms, facts.load_ms)
 
     def _price(
-        self, wish: _Wish, facts: FunctionProfile, chance: float, site: str, view: PlannerView
+        self, demand: _Demand, facts: FunctionProfile, chance: float, site: str, view: PlannerView
     ) -> float:
-        """The price of one copy."""
-        idle_ms = min(max(move.within_ms for move in wish.moves), self._life_ms(facts))
+        """Return the expected cost of one copy."""
+        idle_ms = min(max(move.within_ms for move in demand.moves), self._copy_life_ms(facts))
         idle = IdleCopy(idle_ms, view.memory_mb, view.pushes_out(site), view.mean_ps)
         return copy_cost(self.settings, self.prices, facts, chance, idle)
 
     def _pays(self, now_ms: float, key: tuple[str, str], chance: float, worth: float, price: float) -> bool:
-        """Whether the worth exceeds the price.
+        """Return whether the worth exceeds the price.
 
-        Hysteresis: what was released here of late has to be worth more than what was never tried.
+        Hysteresis: a copy that was released here recently needs a higher worth than a new one.
         """
-        again = now_ms < self._rests.get(key, -math.inf)
-        if again and chance < 0.5:
+        recently_released = now_ms < self._dwell_until_ms.get(key, -math.inf)
+        if recently_released and chance < 0.5:
             return False
-        return worth > price * (self.settings.hysteresis if again else 1.0)
+        return worth > price * (self.settings.hysteresis if recently_released else 1.0)
 
-    def _held_for(
-        self, now_ms: float, wish: _Wish, facts: FunctionProfile, copies: int, gain: float
-    ) -> _Held:
-        """What is held once the copies are ordered; the predictors share it by their parts of the chance."""
+    def _record_held(
+        self, now_ms: float, demand: _Demand, facts: FunctionProfile, copies: int, gain: float
+    ) -> _HeldCopies:
+        """Return the record of ordered copies; each predictor has its share of the total chance."""
         by: dict[str, float] = {}
-        for move in wish.moves:
+        for move in demand.moves:
             by[move.predictor] = by.get(move.predictor, 0.0) + move.probability
         total = sum(by.values())
-        until = min(facts.load_ms + self._life_ms(facts), MAX_SPAN_MS)
+        until = min(facts.load_ms + self._copy_life_ms(facts), MAX_SPAN_MS)
         wasted = copies * (unused_load_cost(self.settings, self.prices, facts) + self.prices.probe)
-        sessions = frozenset(move.session for move in wish.moves)
+        sessions = frozenset(move.session for move in demand.moves)
         shares = {name: part / total for name, part in by.items()}
-        return _Held(now_ms + until, now_ms, shares, sessions, wasted, gain, facts.memory_mb * copies)
+        return _HeldCopies(now_ms + until, now_ms, shares, sessions, wasted, gain, facts.memory_mb * copies)
 
-    def _take(
+    def _order_candidates(
         self, now_ms: float, candidates: Sequence[_Candidate], view: PlannerView
     ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
-        """Orders for the candidates in their order, as far as the budgets go."""
+        """Order the candidates in their ranked order, as far as the budgets allow."""
         yield
         share = fetch_shares(view, self.site.fleet_size)
         budgets = self._budgets(now_ms, view, share)
         found: list[m.AssignedOrder | PrefetchRelease] = []
-        asked = 0
+        load_orders = 0
         for one in candidates:
             if len(self.held) >= MAX_HELD:
                 self._skip("too many held")
                 break
-            if cause := self._lacks(one, budgets, view):
+            if cause := self._missing_budget(one, budgets, view):
                 self._skip(cause)
                 continue
-            if (asked := asked + 1) > MAX_HASH_ORDERS:
+            if (load_orders := load_orders + 1) > MAX_LOAD_ORDERS:
                 self._skip("too many hash orders")
                 break
             yield
@@ -323,28 +321,28 @@
         return found
 
     def _budgets(self, now_ms: float, view: PlannerView, share: float) -> _Budgets:
-        fetches = min(self._fleet.left(now_ms) / share, self._pace.left(now_ms))
+        fetches = min(self._fleet_bucket.left(now_ms) / share, self._own_bucket.left(now_ms))
         kept = 0.0
         if math.isfinite(view.ration):
             kept = self.settings.free_part * view.ration_most + view.waiting
         return _Budgets(fetches, view.ration - kept)
 
-    def _more_mb(self, one: _Candidate) -> float:
-        """Memory that a candidate takes beyond what is held for it already."""
+    def _extra_mb(self, one: _Candidate) -> float:
+        """Return the memory that a candidate needs beyond what is already held for it, in megabytes."""
         return one.held.memory_mb - (self.held[one.key].memory_mb if one.key in self.held else 0.0)
 
-    def _lacks(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> str:
-        """Which budget has no room for a candidate; empty where all have."""
+    def _missing_budget(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> str:
+        """Return which budget is too small for a candidate, or an empty string."""
         if min(budgets.fetches, budgets.orders) < one.copies:
             return "no fetch left" if budgets.fetches < one.copies else "no ration left"
         site = one.key[1]
         if site not in budgets.spare_mb:
             mine = sum(held.memory_mb for (_, at), held in self.held.items() if at == site)
             budgets.spare_mb[site] = view.spare_mb(site) - mine
-        return "no memory to spare" if budgets.spare_mb[site] < self._more_mb(one) else ""
+        return "no memory to spare" if budgets.spare_mb[site] < self._extra_mb(one) else ""
 
     def _scorers(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> list[str] | None:
-        """The first scorers in hash order that may load a copy each; None where there are too few."""
+        """Return the first scorers in load order that may load one copy each; None if there are too few."""
         found: list[str] = []
         room = budgets.cold_room
         for scorer in view.order(*one.key):
@@ -359,14 +357,14 @@
             budgets.cold_room[scorer] -= 1.0
         budgets.fetches -= one.copies
         budgets.orders -= one.copies
-        budgets.spare_mb[one.key[1]] -= self._more_mb(one)
-        self._fleet.tokens -= one.copies * share
-        self._pace.tokens -= one.copies
+        budgets.spare_mb[one.key[1]] -= self._extra_mb(one)
+        self._fleet_bucket.tokens -= one.copies * share
+        self._own_bucket.tokens -= one.copies
 
     def _order(self, now_ms: float, one: _Candidate, scorers: list[str]) -> m.AssignedOrder:
         row, site = one.key
         self.held[one.key] = one.held
-        self._rests.pop(one.key, None)
+        self._dwell_until_ms.pop(one.key, None)
         self.ordered += one.copies
         why = "+".join(sorted(one.held.by)) + f" {one.chance:.2f}"
         return m.AssignedOrder(
@@ -374,14 +372,14 @@
         )
 
     def failed(self, now_ms: float, row: str, site: str) -> bool:
-        """Take that an order did not lead to a copy; False where none was held.
+        """Record that an order did not lead to a copy; return False if none was held.
 
-        No predictor is charged, and it is not tried again at once.
+        No predictor is charged, and the order is not retried at once.
         """
         if (row, site) not in self.held:
             return False
         self._settle(now_ms, (row, site), 0.0)
-        self._rest(now_ms, (row, site))
+        self._start_dwell(now_ms, (row, site))
         return True
 
     def _settle(self, now_ms: float, key: tuple[str, str], net: float) -> None:
@@ -392,8 +390,8 @@
             elif net > 0:
                 self.scores.credit(now_ms, by, net * part)
 
-    def _rest(self, now_ms: float, key: tuple[str, str]) -> None:
-        self._rests.pop(key, None)
-        self._rests[key] = now_ms + self.settings.dwell_ms
-        while len(self._rests) > MAX_RELEASED:
-            del self._rests[next(iter(self._rests))]
+    def _start_dwell(self, now_ms: float, key: tuple[str, str]) -> None:
+        self._dwell_until_ms.pop(key, None)
+        self._dwell_until_ms[key] = now_ms + self.settings.dwell_ms
+        while len(self._dwell_until_ms) > MAX_RELEASED:
+            del self._dwell_until_ms[next(iter(self._dwell_until_ms))]
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -1,11 +1,10 @@
-"""Scores of predictions by proper scoring rules, and the costs of the prefetch orders that rest on them.
+"""Scores predictions by proper scoring rules, and accounts for the costs of orders based on them. No I/O.
 
-Pure.
-
-Brier score (Brier 1950) and log loss, both decaying, against the baseline 'nothing moves'; the skill is one
-less the ratio of a predictor's score to the baseline's. A reliability table has ten bins (predicted against
-seen). A predictor is used only while its skill over enough predictions is above a margin and its prefetch
-orders saved more than they cost, as a score can be good where being right saves little.
+The scores are the Brier score (Brier 1950) and the log loss, both with exponential decay. They are compared
+with the baseline 'nothing moves'. The skill is one minus the ratio of a predictor's Brier score to the
+baseline's. A reliability table of ten bins compares predicted with observed frequencies. A predictor is used
+only while its skill over enough predictions exceeds a margin and its prefetch orders do not lose more than an
+allowance. The score alone is not enough, as correct predictions may save little.
 """
 
 import heapq
@@ -19,11 +18,11 @@
 from fawnwharf.session_types import PredictedMove, Session
 
 BIN_COUNT = 10
-MAX_OPEN = 20_000  # predictions of one predictor whose end is awaited
-KEYS_PER_SLICE = 100  # of one slice
-Key = tuple[Session, str]  # a session and where it is expected
-Open = tuple[float, float]  # an open prediction: its chance, and when it is due
-MIN_PROBABILITY = 0.001  # for the log loss: guards against an infinite one
+MAX_OPEN_PREDICTIONS = 20_000  # unresolved predictions of one predictor
+KEYS_PER_SLICE = 100
+Key = tuple[Session, str]  # a session and the zone where it is expected
+OpenPrediction = tuple[float, float]  # an unresolved prediction: its probability, and when it is due
+MIN_PROBABILITY = 0.001  # clips probabilities, as the log loss would be infinite at 0 and 1
 
 
 @dataclass(slots=True)
@@ -32,16 +31,16 @@
 
     weight: float = 0.0
     brier: float = 0.0
-    base: float = 0.0  # the Brier score of 'nothing moves' on the same
+    base: float = 0.0  # the Brier score of 'nothing moves' on the same predictions
     loss: float = 0.0  # log loss, natural logarithm
     base_loss: float = 0.0
-    net: float = 0.0  # what stages earned less what they cost, in mean calls
-    spent: float = 0.0
+    net: float = 0.0  # gain of prefetch orders minus their cost, in units of a mean call
+    spent: float = 0.0  # cost of unused prefetch orders, in the same unit
     bins: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(BIN_COUNT)])
     at_ms: float = 0.0
 
     def fade(self, now_ms: float, span_ms: float) -> None:
-        """Let all sums decay to now, with the time constant `span_ms`."""
+        """Decay all sums up to `now_ms` with the time constant `span_ms`."""
         part, self.at_ms = math.exp((self.at_ms - now_ms) / span_ms), now_ms
         for name in ("weight", "brier", "base", "loss", "base_loss", "net", "spent"):
             setattr(self, name, getattr(self, name) * part)
@@ -49,12 +48,12 @@
             row[:] = [value * part for value in row]
 
     def add(self, chance: float, came: bool) -> None:
-        """Add a prediction with its chance, and whether the move came."""
+        """Add a prediction's probability and whether the move happened."""
         seen = float(came)
         self.weight += 1.0
         self.brier += (chance - seen) ** 2
         self.base += seen
-        self.loss -= math.log(_apart(chance if came else 1.0 - chance))
+        self.loss -= math.log(_clip_probability(chance if came else 1.0 - chance))
         self.base_loss -= math.log(MIN_PROBABILITY if came else 1.0 - MIN_PROBABILITY)
         row = self.bins[min(BIN_COUNT - 1, int(chance * BIN_COUNT))]
         row[0] += 1.0
@@ -63,67 +62,67 @@
 
     @property
     def skill(self) -> float:
-        """One less the Brier score over the baseline's: 0 is as good as 'nothing moves', less is worse."""
+        """One minus the Brier score over the baseline's: 0 equals 'nothing moves', below 0 is worse."""
         return 1.0 - self.brier / self.base if self.base > 0 else (-1.0 if self.brier > 0 else 0.0)
 
 
-def _apart(chance: float) -> float:
+def _clip_probability(chance: float) -> float:
     return min(1.0 - MIN_PROBABILITY, max(MIN_PROBABILITY, chance))
 
 
 class PredictionScores:
     """The scores of all predictors.
 
-    A prediction is open until its session is found there or its time is over, with `grace_ms` for moves to be
-    noticed. One that is repeated in each pass counts each time with the chance it had then, since the first
-    one alone would be the least certain.
+    A prediction is open until its session is found in the predicted zone or its time is over, plus `grace_ms`
+    for moves to be detected. A prediction repeated in several passes counts each time with its probability in
+    that pass, since the first one alone would be the least certain.
     """
 
     def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
         self.grace_ms = settings.fast_ms + settings.beat_ms
         self.sums: dict[str, ScoreSums] = {}
-        self.dropped = 0  # predictions that were not scored, as too many were open
-        self.missed = 0  # moves that no predictor foresaw
-        self._open: dict[str, dict[Key, list[Open]]] = {}  # by predictor
-        self._count: dict[str, int] = {}
-        self._dues: dict[str, list[tuple[float, int, Key]]] = {}  # heaps, of the same
-        self._numbers = itertools.count()
+        self.dropped = 0  # predictions not scored because too many were open
+        self.missed = 0  # moves that no predictor predicted
+        self._open: dict[str, dict[Key, list[OpenPrediction]]] = {}  # by predictor
+        self._open_count: dict[str, int] = {}
+        self._due_heaps: dict[str, list[tuple[float, int, Key]]] = {}  # heaps by predictor
+        self._sequence = itertools.count()
 
     def predicted(self, now_ms: float, moves: list[PredictedMove]) -> None:
-        """Take the predictions of one pass."""
+        """Record the predictions of one pass."""
         run_slices(self.noting(now_ms, moves))
 
     def noting(self, now_ms: float, moves: list[PredictedMove]) -> Slices[None]:
-        """The same as `predicted`, in slices."""
+        """Do the same as `predicted`, in slices."""
         for n, move in enumerate(moves):
             if n % KEYS_PER_SLICE == KEYS_PER_SLICE - 1:
                 yield
             held = self._open.setdefault(move.predictor, {})
-            if self._count.get(move.predictor, 0) >= MAX_OPEN:
+            if self._open_count.get(move.predictor, 0) >= MAX_OPEN_PREDICTIONS:
                 self.dropped += 1
                 continue
-            self._count[move.predictor] = self._count.get(move.predictor, 0) + 1
+            self._open_count[move.predictor] = self._open_count.get(move.predictor, 0) + 1
             due = now_ms + move.within_ms + self.grace_ms
             key = (move.session, move.destination)
             held.setdefault(key, []).append((move.probability, due))
-            heapq.heappush(self._dues.setdefault(move.predictor, []), (due, next(self._numbers), key))
+            heapq.heappush(self._due_heaps.setdefault(move.predictor, []), (due, next(self._sequence), key))
 
     def seen(self, now_ms: float, beat: m.ScanResult) -> None:
-        """Score the predictions that came true in one pass, and those whose time is over."""
+        """Score the predictions that came true in one pass and those that are overdue."""
         run_slices(self.scoring(now_ms, beat))
 
     def scoring(self, now_ms: float, beat: m.ScanResult) -> Slices[None]:
-        """The same as `seen`, in slices."""
+        """Do the same as `seen`, in slices."""
         for sums in self.sums.values():
             sums.fade(now_ms, self.settings.score_ms)
-        moved = yield from self._moved(beat)
+        moved = yield from self._observed_moves(beat)
         for by, held in self._open.items():
-            closing = yield from self._closing(by, moved, now_ms)
-            yield from self._close(by, held, closing, moved, now_ms)
+            closing = yield from self._keys_to_score(by, moved, now_ms)
+            yield from self._score_keys(by, held, closing, moved, now_ms)
 
-    def _moved(self, beat: m.ScanResult) -> Slices[dict[Key, None]]:
-        """The moves of a pass; those that nobody predicted are counted."""
+    def _observed_moves(self, beat: m.ScanResult) -> Slices[dict[Key, None]]:
+        """Return the moves of a pass, and count those that were not predicted."""
         moved: dict[Key, None] = {}
         for n, move in enumerate(beat.moved):
             if n % KEYS_PER_SLICE == KEYS_PER_SLICE - 1:
@@ -133,24 +132,24 @@
             self.missed += not any(key in held for held in self._open.values())
         return moved
 
-    def _closing(self, by: str, moved: dict[Key, None], now_ms: float) -> Slices[dict[Key, None]]:
-        """What may be scored of one predictor: what moved, and what is overdue."""
-        due, found = self._dues.get(by, []), dict.fromkeys(moved)
+    def _keys_to_score(self, by: str, moved: dict[Key, None], now_ms: float) -> Slices[dict[Key, None]]:
+        """Return the keys of one predictor that may be scored: those that moved and those overdue."""
+        due, found = self._due_heaps.get(by, []), dict.fromkeys(moved)
         while due and due[0][0] < now_ms:
             found[heapq.heappop(due)[2]] = None
             if len(found) % (2 * KEYS_PER_SLICE) == 0:
                 yield
         return found
 
-    def _close(
+    def _score_keys(
         self,
         by: str,
-        held: dict[Key, list[Open]],
+        held: dict[Key, list[OpenPrediction]],
         keys: dict[Key, None],
         moved: dict[Key, None],
         now_ms: float,
     ) -> Slices[None]:
-        """Score the predictions of `keys` that came true or are overdue; the others stay open."""
+        """Score the predictions of `keys` that came true or are overdue; keep the others open."""
         done = 0
         for key in keys:
             if key not in held:
@@ -161,24 +160,24 @@
                 yield
             came, made = key in moved, held.pop(key)
             over = [one for one in made if came or one[1] < now_ms]
-            self._count[by] -= len(over)
+            self._open_count[by] -= len(over)
             for chance, due in over:
                 self._of(by, now_ms).add(chance, came and due >= now_ms)
             if len(over) < len(made):
                 held[key] = [one for one in made if one[1] >= now_ms]
 
     def charge(self, now_ms: float, by: str, cost: float) -> None:
-        """Charge a predictor for an unused prefetch order, in mean calls' worth."""
+        """Charge a predictor for an unused prefetch order, in units of a mean call."""
         sums = self._of(by, now_ms)
         sums.net -= cost
         sums.spent += cost
 
     def credit(self, now_ms: float, by: str, gain: float) -> None:
-        """Credit a predictor for a used prefetch order: what calls would have lost without it."""
+        """Credit a predictor for a used prefetch order with what calls would have lost without it."""
         self._of(by, now_ms).net += gain
 
     def good(self, by: str) -> bool:
-        """Whether a predictor was good enough of late to be used."""
+        """Return whether a predictor was recently good enough to be used."""
         sums = self.sums.get(by)
         if sums is None or sums.weight < self.settings.least:
             return False
@@ -189,14 +188,14 @@
         )
 
     def best(self, names: list[str]) -> str | None:
-        """Of these predictors the one with the highest skill that may be used; None where there is none."""
+        """Return the usable predictor with the highest skill among `names`, or None."""
         able = [name for name in names if self.good(name)]
         return max(able, key=lambda name: (self.sums[name].skill, name), default=None)
 
     def table(self, by: str) -> list[tuple[float, float, float]]:
-        """The reliability table by tenths of chance.
+        """Return the reliability table by tenths of probability.
 
-        The count, the mean chance, and the part that came true.
+        Each row has the count, the mean probability, and the fraction that came true.
         """
         rows = self.sums.get(by, ScoreSums()).bins
         return [(n, p / n if n else 0.0, seen / n if n else 0.0) for n, p, seen in rows]
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -1,8 +1,8 @@
-"""Predictors of session moves behind one interface: none, trend, learnt history, and announced plans. Pure.
+"""Predictors of session moves behind one interface: none, trend, history, and announced plans. No I/O.
 
-A prediction says that a session will be found at another zone within a time; its probability is scored
-afterwards (`score`). None names more than `most` sessions in a pass, the busiest first. The work of a pass is
-done in slices, and bounded by `most` and the number of groups, not by the number of sessions.
+A prediction says that a session will call in another zone within a time; its probability is scored afterwards
+(`prediction_scores`). A predictor names at most `most` sessions in a pass, the busiest first. The work of a
+pass is done in slices. It is bounded by `most` and the number of groups, not by the number of sessions.
 """
 
 import heapq
@@ -22,30 +22,30 @@
 MOVES_PER_SLICE = 40
 GROUPS_PER_SLICE = 30
 RISING_PER_SLICE = 30
-MAX_FLOWS = 10_000
+MAX_MOVE_RATES = 10_000
 
-ZoneShares = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
+ZoneShares = tuple[tuple[str, float], ...]  # zones with the fraction of a session's calls that goes there
 NextZones = Callable[[Session, str], ZoneShares]
 ReturnPosition = Callable[[Session, str], float | None]
 HomeZone = Callable[[Session], str]
 
 
 class Predictor(Protocol):
-    """One way to predict moves; `name` is in its predictions and scores."""
+    """A predictor of moves; `name` identifies it in predictions and scores."""
 
     name: str
 
     def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult, /) -> Slices[None]:
-        """Take the result of one pass."""
+        """Learn from the result of one pass."""
         ...
 
     def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float, /) -> Slices[list[PredictedMove]]:
-        """The moves expected within `span_ms`, with their probabilities."""
+        """Return the moves expected within `span_ms`, with their probabilities."""
         ...
 
 
 class NoMovePredictor:
-    """Predicts no move: the baseline of the others."""
+    """Predicts no move: the baseline for the other predictors."""
 
     name = "nothing"
 
@@ -54,20 +54,20 @@
         yield
 
     def moves(self, _now_ms: float, _watch: SessionMonitor, _span_ms: float) -> Slices[list[PredictedMove]]:
-        """No moves."""
+        """Return no moves."""
         yield
         return []
 
 
-# Sessions that stand in one group and go the same way: (chance, group, source, destination).
-_Way = tuple[float, SessionGroup, str, str]
+# Sessions of one group that make the same move: (probability, group, source, destination).
+_GroupMove = tuple[float, SessionGroup, str, str]
 
 
 @dataclass(frozen=True, slots=True)
-class _Pass:
-    """What one predictor uses in one pass.
+class _PassContext:
+    """Inputs of one predictor in one pass.
 
-    `past` gives the chance that a session lives for `alive_ms` more; None: all live on.
+    `past` gives the probability that a session lives for `alive_ms` more; None means that all do.
     """
 
     now_ms: float
@@ -79,20 +79,24 @@
     alive_ms: float
 
 
-def _by_chance(this: _Pass, ways: list[_Way]) -> Slices[list[PredictedMove]]:
-    """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named."""
-    most = this.settings.most
+def _likeliest_moves(context: _PassContext, group_moves: list[_GroupMove]) -> Slices[list[PredictedMove]]:
+    """Return moves of the sessions in `group_moves`, the likeliest first, up to about twice `most`."""
+    most = context.settings.most
     found: list[PredictedMove] = []
-    for chance, group, source, destination in sorted(ways, key=lambda way: -way[0]):
+    for chance, group, source, destination in sorted(group_moves, key=lambda move: -move[0]):
         if len(found) >= 2 * most:
             break
         for session in group.busiest(most):
-            track = this.watch.tracks.get(session)
+            track = context.watch.tracks.get(session)
             if track is None:
                 continue
-            lives = this.past.lives(this.now_ms, session, track, this.alive_ms) if this.past else 1.0
+            lives = (
+                context.past.lives(context.now_ms, session, track, context.alive_ms) if context.past else 1.0
+            )
             found.append(
-                PredictedMove(session, source, destination, this.span_ms, chance * lives, this.predictor)
+                PredictedMove(
+                    session, source, destination, context.span_ms, chance * lives, context.predictor
+                )
             )
             if len(found) % MOVES_PER_SLICE == 0:
                 yield
@@ -100,8 +104,8 @@
 
 
 @dataclass(slots=True)
-class _Flux:
-    """Moves of a tenant from one zone to another, in two decaying windows."""
+class _MoveRates:
+    """Moves of a tenant's sessions from one zone to another, in two decaying windows."""
 
     fast: float
     slow: float
@@ -111,8 +115,8 @@
 class TrendPredictor:
     """Predicts from recent rates and their slope.
 
-    Sessions follow others that have just left the same zone: the flux of the fast window, increased by its
-    excess over the slow one. A session whose share of calls at another zone rises goes there.
+    Sessions follow others that recently left the same zone. Their rate is that of the fast window plus its
+    excess over the slow window. A session with a rising share of calls in another zone moves there.
     """
 
     name = "trend"
@@ -120,64 +124,70 @@
     def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
         self.past: MoveHistory | None = None  # for survival; None: all live on
-        self._flux: dict[tuple[str, str, str], _Flux] = {}
-        self._called: dict[Session, None] = {}
+        self._move_rates: dict[tuple[str, str, str], _MoveRates] = {}
+        self._multi_zone_sessions: dict[Session, None] = {}
 
     def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
-        """Count moves, and remember which sessions called at several zones."""
+        """Count moves, and record which sessions called in several zones."""
         for n, moved in enumerate(beat.moved):
             if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
                 yield
             key = (moved.session.org, moved.source, moved.destination)
-            flux = self._flux.pop(key, None) or _Flux(0.0, 0.0, now_ms)
-            self._flux[key] = self._faded(flux, now_ms)  # the last one, so that the first is the oldest
-            self._flux[key].fast += 1.0
-            self._flux[key].slow += 1.0
-        while self._flux:
-            key, flux = next(iter(self._flux.items()))
-            if now_ms - flux.at_ms <= 5 * self.settings.slow_ms and len(self._flux) <= MAX_FLOWS:
+            rates = self._move_rates.pop(key, None) or _MoveRates(0.0, 0.0, now_ms)
+            self._move_rates[key] = self._decayed(
+                rates, now_ms
+            )  # inserted last, so that the first one is the oldest
+            self._move_rates[key].fast += 1.0
+            self._move_rates[key].slow += 1.0
+        while self._move_rates:
+            key, rates = next(iter(self._move_rates.items()))
+            if now_ms - rates.at_ms <= 5 * self.settings.slow_ms and len(self._move_rates) <= MAX_MOVE_RATES:
                 break
-            del self._flux[key]
-        self._called = {}
+            del self._move_rates[key]
+        self._multi_zone_sessions = {}
         for n, calls in enumerate(beat.called):
             if n % (5 * RISING_PER_SLICE) == 0:
                 yield
             track = watch.tracks.get(calls.session)
-            if track is not None and len(track.flows) > 1 and len(self._called) < 2 * self.settings.most:
-                self._called[calls.session] = None
-
-    def _faded(self, flux: _Flux, now_ms: float) -> _Flux:
-        span = flux.at_ms - now_ms
-        fast = flux.fast * math.exp(span / self.settings.fast_ms)
-        return _Flux(fast, flux.slow * math.exp(span / self.settings.slow_ms), now_ms)
+            if (
+                track is not None
+                and len(track.flows) > 1
+                and len(self._multi_zone_sessions) < 2 * self.settings.most
+            ):
+                self._multi_zone_sessions[calls.session] = None
+
+    def _decayed(self, rates: _MoveRates, now_ms: float) -> _MoveRates:
+        span = rates.at_ms - now_ms
+        fast = rates.fast * math.exp(span / self.settings.fast_ms)
+        return _MoveRates(fast, rates.slow * math.exp(span / self.settings.slow_ms), now_ms)
 
     def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
-        """Sessions that follow a flux, and sessions whose calls shift to another zone."""
+        """Return moves of sessions that follow others, and of sessions whose calls shift to another zone."""
         settings = self.settings
-        ways: list[_Way] = []
-        for n, ((org, source, destination), held) in enumerate(self._flux.items()):
+        group_moves: list[_GroupMove] = []
+        for n, ((org, source, destination), held) in enumerate(self._move_rates.items()):
             if n % GROUPS_PER_SLICE == GROUPS_PER_SLICE - 1:
                 yield
             group = watch.groups.get((org, source))
-            flux = self._faded(held, now_ms)
-            if not group or flux.fast < 0.5:
+            rates = self._decayed(held, now_ms)
+            if not group or rates.fast < 0.5:
                 continue
-            fast, slow = flux.fast / settings.fast_ms, flux.slow / settings.slow_ms
-            hazard = max(0.0, fast + max(0.0, fast - slow)) / (len(group) + flux.fast)
+            fast, slow = rates.fast / settings.fast_ms, rates.slow / settings.slow_ms
+            hazard = max(0.0, fast + max(0.0, fast - slow)) / (len(group) + rates.fast)
             chance = 1.0 - math.exp(-hazard * span_ms)
             if chance >= settings.floor:
-                ways.append((chance, group, source, destination))
-        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, 0.0)
-        found = yield from _by_chance(this, ways)
-        for n, session in enumerate(self._called):
+                group_moves.append((chance, group, source, destination))
+        context = _PassContext(now_ms, watch, settings, self.name, span_ms, self.past, 0.0)
+        found = yield from _likeliest_moves(context, group_moves)
+        for n, session in enumerate(self._multi_zone_sessions):
             if n % RISING_PER_SLICE == RISING_PER_SLICE - 1:
                 yield
             track = watch.tracks.get(session)
             if track is not None and len(track.flows) > 1 and len(found) < 3 * settings.most:
-                found += self._rising(session, track, span_ms)
+                found += self._rising_moves(session, track, span_ms)
         return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
-    def _rising(self, session: Session, track: SessionRate, span_ms: float) -> list[PredictedMove]:
+    def _rising_moves(self, session: Session, track: SessionRate, span_ms: float) -> list[PredictedMove]:
         fast, slow = (sum(getattr(f, n) for f in track.flows) or 1.0 for n in ("fast", "slow"))
         found = []
         for flow in track.flows:
@@ -189,7 +199,7 @@
 
 
 class HistoryPredictor:
-    """Predicts from the history by tenant, zones and phase of the day, and from how long sessions live."""
+    """Predicts from the history by tenant, zones and phase of the day, and from the lifetime of sessions."""
 
     name = "learnt"
 
@@ -202,9 +212,9 @@
         yield from self.past.learning(now_ms, watch, beat)
 
     def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
-        """Moves by the hazards of the history."""
+        """Return moves by the hazards of the history."""
         settings = self.settings
-        ways: list[_Way] = []
+        group_moves: list[_GroupMove] = []
         for n, ((org, site), group) in enumerate(list(watch.groups.items())):
             if n % GROUPS_PER_SLICE == GROUPS_PER_SLICE - 1:
                 yield
@@ -216,9 +226,9 @@
             for destination, hazard in sorted(hazards.items()):
                 chance = leaves * hazard / total
                 if chance >= settings.floor and destination != site:
-                    ways.append((chance, group, site, destination))
-        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, span_ms)
-        found = yield from _by_chance(this, ways)
+                    group_moves.append((chance, group, site, destination))
+        context = _PassContext(now_ms, watch, settings, self.name, span_ms, self.past, span_ms)
+        found = yield from _likeliest_moves(context, group_moves)
         return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
 
@@ -236,19 +246,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRules:
-    """Where sessions belong, and where they go while a zone is closed."""
+    """The home zones of sessions, and where sessions go while a zone is closed."""
 
-    destination: NextZones = _nowhere  # zones and shares for a session whose zone is closed
+    destination: NextZones = _nowhere  # next zones and shares of a session whose zone is closed
     place: ReturnPosition = _unplaced  # position of a session in a zone's order of return, from 0 to 1
-    belongs: HomeZone = _homeless  # the zone of a session
+    belongs: HomeZone = _homeless  # home zone of a session
 
 
 class PlanPredictor:
-    """Predicts what was announced, as certain.
+    """Predicts the moves of announced plans as certain.
 
-    A session at a zone that is drained goes where `destination` says (zones and shares, as the plan's flows
-    have it). One that left a zone which returns goes back once the open part covers its position; where that
-    is unknown, the probability is the step's share of those that are left.
+    A session in a drained zone goes to the zones and shares that `destination` returns, which follow the
+    plan's flows. A session that left a returning zone goes back once the open fraction covers its position.
+    If the position is unknown, the probability is the step's share of the remaining sessions.
     """
 
     name = "announced"
@@ -265,7 +275,7 @@
         self._plans: dict[str, tuple[float, m.AnnouncedPlan]] = {}
 
     def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
-        """Take a plan, unless a later one of that zone is known. Repeats change nothing."""
+        """Store a plan; return False if the same or a later plan of the zone is already known."""
         known = self._plans.get(plan.site)
         if known is not None and plan.number <= known[1].number:
             return False
@@ -273,7 +283,7 @@
         return True
 
     def standby(self) -> frozenset[str]:
-        """Zones on standby: no session goes there by itself."""
+        """Return the zones on standby, to which no session moves by itself."""
         return frozenset(site for site, (_, plan) in self._plans.items() if plan.kind == "standby")
 
     def learn(self, _now_ms: float, _watch: SessionMonitor, _beat: m.ScanResult) -> Slices[None]:
@@ -281,24 +291,24 @@
         yield
 
     def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
-        """Moves by the steps of the announced plans that are due within `span_ms`."""
+        """Return the moves of the plan steps that are due within `span_ms`."""
         found: list[PredictedMove] = []
         for site, (told_ms, plan) in sorted(self._plans.items()):
             was = 1.0 if plan.kind == "drain" else 0.0
             for step in plan.steps:
                 ahead = told_ms + step.in_ms - now_ms
-                # A session shows where it is by its next call alone: it may be due for a while.
+                # A move shows only with the session's next call, so past steps stay due for a while.
                 if -span_ms <= ahead <= span_ms and plan.kind != "standby":
                     falls = step.open < was
-                    way = self._leave if falls else self._return
-                    found += yield from way(now_ms, watch, site, was, step.open, ahead)
+                    step_moves = self._drain_moves if falls else self._return_moves
+                    found += yield from step_moves(now_ms, watch, site, was, step.open, ahead)
                 was = step.open
         return heapq.nlargest(self.settings.most, found, key=lambda move: move.probability)
 
-    def _lives(self, now_ms: float, session: Session, track: SessionRate, ahead_ms: float) -> float:
+    def _survival(self, now_ms: float, session: Session, track: SessionRate, ahead_ms: float) -> float:
         return self.past.lives(now_ms, session, track, ahead_ms) if self.past else 1.0
 
-    def _leave(
+    def _drain_moves(
         self, now_ms: float, watch: SessionMonitor, site: str, was: float, left: float, ahead: float
     ) -> Slices[list[PredictedMove]]:
         found: list[PredictedMove] = []
@@ -314,7 +324,7 @@
             part = (was - left) / max(was, 1e-9) if place is None else float(left <= place < was)
             if part <= 0.0:
                 continue
-            part *= self._lives(now_ms, session, track, max(0.0, ahead))
+            part *= self._survival(now_ms, session, track, max(0.0, ahead))
             for target, share in self.destination(session, site):
                 if part * share > 0 and target != site:
                     within = min(MAX_SPAN_MS, max(0.0, ahead) + self.settings.fast_ms)
@@ -323,13 +333,13 @@
                     )
         return found
 
-    def _return(
+    def _return_moves(
         self, now_ms: float, watch: SessionMonitor, site: str, was: float, open_: float, ahead: float
     ) -> Slices[list[PredictedMove]]:
         found: list[PredictedMove] = []
         back = watch.left.get(site, SessionGroup()).busiest(4 * self.settings.most)
         yield
-        # Those that began while the site was out have never been there. Bounded: the last that called.
+        # Sessions that began while the zone was out were never there; only the latest callers are checked.
         latest = watch.tracks.latest(4 * self.settings.most)
         for n, session in enumerate(latest):
             if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
@@ -350,7 +360,7 @@
             part = (open_ - was) / max(1.0 - was, 1e-9) if place is None else float(was <= place < open_)
             if part <= 0.0:
                 continue
-            part *= self._lives(now_ms, session, track, max(0.0, ahead))
+            part *= self._survival(now_ms, session, track, max(0.0, ahead))
             if part > 0:
                 within = min(MAX_SPAN_MS, max(0.0, ahead) + self.settings.fast_ms)
                 found.append(PredictedMove(session, track.site, site, within, min(1.0, part), self.name))
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -1,6 +1,6 @@
-"""The prefetcher of one front end: counts go in, messages and load orders come out. Pure.
+"""The prefetcher of one front end: turns call counts into messages and load orders. No I/O.
 
-This is what a host drives.
+The host calls it with events and times, and carries out its results.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,16 +22,17 @@
 from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
-# Of an idle life: the rest is for the load.
-SPAN_PART = 0.8
+PREDICTION_HORIZON_FRACTION = (
+    0.8  # prediction horizon as a fraction of a copy's idle life; the rest is for the load
+)
 
 
 class Prefetcher:
-    """Joins the session monitor, the predictors, their scores and the planner.
+    """Combines the session monitor, the predictors, their scores and the planner.
 
-    A host calls `called` for each call that ran somewhere, `heard` for each message of another front end and
-    `announced` for plans; every `beat_ms` it calls `step`, sends `word` to the others and carries the orders
-    out.
+    The host calls `called` for each call that ran, `heard` for each message of another front end and
+    `announced` for each plan. Every `beat_ms` it calls `step`, sends the message from `word` to the other
+    front ends, and carries out the orders.
     """
 
     def __init__(
@@ -53,44 +54,41 @@
             PlanPredictor(bounds, rules.destination, rules.place, rules.belongs),
         )
         self.plans.past = self.trend.past = self.learnt.past
-        # A stage is worth the chance that it is used while it stands; idle for longer it may lapse.
+        # Only a use within the idle life has value: a copy that is idle for longer may expire.
         self.life_ms = max(site.idle_life_ms, bounds.beat_ms)
-        self.span_ms = max(SPAN_PART * site.idle_life_ms, bounds.beat_ms)
+        self.span_ms = max(PREDICTION_HORIZON_FRACTION * site.idle_life_ms, bounds.beat_ms)
         self.best: str | None = None
         self.moves: list[PredictedMove] = []
 
     def go_by(self, bounds: Bounds) -> None:
-        """Use other budgets from now on."""
+        """Replace the budgets."""
         self.bounds = bounds
         self.planner.go_by(bounds)
 
     def called(self, now_ms: float, session: Session, site: str) -> None:
-        """Count a call of a session at a zone."""
+        """Count a call of a session in a zone."""
         self.watch.called(now_ms, session, site)
 
     def heard(self, now_ms: float, owner: str, word: m.CounterMessage) -> None:
-        """Take the counters that another front end sent."""
+        """Merge the counters that another front end sent."""
         self.watch.heard(now_ms, owner, word)
 
     def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
-        """Take a plan for a zone; False where a later one is known."""
+        """Store a plan for a zone; return False if the same or a later plan is known."""
         return self.plans.announced(now_ms, plan)
 
     def word(self) -> m.CounterMessage:
-        """The message for the other front ends: own counters that rose since the last one."""
+        """Return the message for the other front ends: own counters that increased since the last one."""
         return self.watch.word()
 
     def step(self, now_ms: float, view: PlannerView) -> Sequence[m.AssignedOrder | PrefetchRelease]:
-        """One pass over what has changed.
-
-        Count, learn, predict and plan; the orders, and what is not needed any more.
-        """
+        """Run one pass: count, learn, predict and plan; return the orders and releases."""
         return run_slices(self.look(now_ms, lambda: view))
 
     def look(
         self, now_ms: float, view: Callable[[], PlannerView]
     ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
-        """The same as `step` in slices, between which calls, messages and plans may come in.
+        """Do the same as `step` in slices; calls, messages and plans may arrive between slices.
 
         `view` is called once, as late as possible.
         """
@@ -109,7 +107,7 @@
             yield from scores.noting(now_ms, moves)
         self.best = scores.best([predictor.name for predictor in able])
         still = self.plans.standby()
-        # All that are good: each is scored by what it foretold itself, so of two the scores say little.
+        # All good predictors are used: each is scored on its own predictions, so scores are not comparable.
         good = [name for name in made if scores.good(name)]
         guessed = [move for name in good for move in made[name] if move.destination not in still]
         seen = view()
@@ -121,9 +119,9 @@
         return found + planned
 
     def _due(self, certain: list[PredictedMove], heard: int) -> list[PredictedMove]:
-        """Those certain moves whose copies have to be ordered by now.
+        """Return the certain moves whose copies must be ordered now.
 
-        As late as the queue of orders allows, so that copies do not expire before they are needed.
+        Copies are ordered as late as the queue of orders allows, so that they do not expire before their use.
         """
         rows = len({(move.session.row, move.destination) for move in certain} - self.planner.held.keys())
         bounds = self.bounds
