--- a/fawnwharf/prefetch/slices.py
+++ b/fawnwharf/prefetch/slices.py
@@ -1,4 +1,4 @@
-"""Work in slices, so that none of it holds up the event loop.
+"""Work divided into slices, so that it does not block the event loop.
 
 Slices are bounded by counts, not by a clock.
 """
@@ -7,11 +7,11 @@
 from typing import TypeVar
 
 Kind = TypeVar("Kind")
-Slices = Generator[None, None, Kind]  # a slice up to each yield; what comes of it all is returned
+Slices = Generator[None, None, Kind]  # one slice up to each yield; returns the result of the work
 
 
 def run_slices(slices: Slices[Kind]) -> Kind:
-    """Run all slices, one after the other, and return the result."""
+    """Run all slices and return the result."""
     while True:
         try:
             next(slices)
--- a/tests/prefetch/test_prefetch_planner.py
+++ b/tests/prefetch/test_prefetch_planner.py
@@ -1,4 +1,4 @@
-"""Scores known by hand; what is staged under which budgets, by whom, and when nothing is."""
+"""Prediction scores, copy value, and the planner: budgets, ordering front end, releases and quiet times."""
 
 import math
 import random
@@ -28,12 +28,12 @@
 
 
 def view(**changes):
-    told = dict(
+    fields = dict(
         me="a", heard=("a",), calm=True, disturbed=frozenset(), ration=math.inf, ration_most=math.inf,
         waiting=0, facts=lambda _row: FACTS, order=lambda _row, _site: SCORERS, cold_room=lambda _scorer:
         math.inf, spare_mb=lambda _site: 1e6, standing=lambda _row, _site: 0,
     )  # fmt: skip
-    return PlannerView(**(told | changes))
+    return PlannerView(**(fields | changes))
 
 
 def move(n, chance=0.9, by="learnt", destination="s", within=5_000.0):
@@ -101,11 +101,12 @@
     assert scores.sums["learnt"].skill < 0
 
 
-# --- worth ----------------------------------------------------------------------------------------
+# --- value ----------------------------------------------------------------------------------------
 
 
 def test_value_and_cost_are_those_computed_by_hand():
-    # 100 + 900 ms is 200 past the promise: the first call is late, and those of the load's first 200 ms
+    # 100 + 900 ms exceeds the latency target by 200 ms: the first call is late, and so are the calls that
+    # arrive in the first 200 ms of the load.
     assert waiting_loss(SPEC, FACTS, 5.0) == pytest.approx(0.8 * (1 + 5.0 * 0.2))
     assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 600.0, 100.0), 5.0) == 0.0
     assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 3_500.0, 100.0), 0.0) == 1.0
@@ -125,31 +126,29 @@
     assert found[0].stage.site == "s"
     assert found[0].stage.until_ms == pytest.approx(900.0 + 9_300.0)
     assert plan.skipped == {"not worth it": 1}
-    assert step(plan, 500.0, [move(2)], view()) == []  # it is held already
+    assert step(plan, 500.0, [move(2)], view()) == []  # already held
     assert step(planner(), 0.0, [move(2)], view(standing=lambda *_: 1)) == []
     assert step(planner(), 0.0, [move(2)], view(facts=lambda _row: None)) == []
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(strategies.integers(0, 1 << 32), strategies.floats(0.0, 12.0), strategies.integers(1, 6))
-def test_no_budget_is_ever_exceeded(seed, fetches, fronts):
-    chance = random.Random(seed)
+def test_no_budget_is_ever_exceeded(seed, fetches, front_ends):
+    rng = random.Random(seed)
     bounds = Bounds(fetches_ps=fetches, pace_ps=3.0, copies=2)
-    names = tuple(f"n{n}" for n in range(fronts))
-    site = Settings(classes={"view": SPEC}, fleet_size=fronts, idle_life_ms=9_300.0)
+    names = tuple(f"n{n}" for n in range(front_ends))
+    site = Settings(classes={"view": SPEC}, fleet_size=front_ends, idle_life_ms=9_300.0)
     plans = {name: Planner(bounds, site, PRICES, PredictionScores(bounds)) for name in names}
     issued: dict[str, list[float]] = {name: [] for name in names}
     held_mb = {"s": 0.0, "t": 0.0}
     for look in range(12):
-        now, room = 500.0 * look, {scorer: chance.choice([0.0, 1.0, 2.5]) for scorer in SCORERS}
-        moves = [
-            move(chance.randrange(60), chance.random(), destination=chance.choice("st")) for _ in range(40)
-        ]
+        now, room = 500.0 * look, {scorer: rng.choice([0.0, 1.0, 2.5]) for scorer in SCORERS}
+        moves = [move(rng.randrange(60), rng.random(), destination=rng.choice("st")) for _ in range(40)]
         for name in names:
-            ration, most, waiting = chance.uniform(0, 9), 10.0, chance.randrange(3)
+            ration, most, waiting = rng.uniform(0, 9), 10.0, rng.randrange(3)
             seen = view(me=name, heard=names, ration=ration, ration_most=most, waiting=waiting,
                         cold_room=room.__getitem__, spare_mb=lambda _site: 3_000.0)  # fmt: skip
-            found = orders(plans[name].step(now, moves, seen, lambda _session: chance.uniform(0, 30)))
+            found = orders(plans[name].step(now, moves, seen, lambda _session: rng.uniform(0, 30)))
             copies = sum(one.stage.copies for one in found)
             assert copies <= max(0.0, ration - 5.0 - waiting)
             issued[name] += [now] * copies
@@ -158,11 +157,12 @@
             for where in held_mb:
                 held = sum(h.memory_mb for (_, at), h in plans[name].held.items() if at == where)
                 assert held <= 3_000.0
-    everybody = sorted(at for times in issued.values() for at in times)
-    for n, since in enumerate(everybody):
-        for k in range(n, len(everybody)):
+    all_issued = sorted(at for times in issued.values() for at in times)
+    for n, since in enumerate(all_issued):
+        for k in range(n, len(all_issued)):
             assert (
-                k - n + 1 <= max(fetches * 2.0, bool(fetches)) + fetches * (everybody[k] - since) / 1e3 + 1e-6
+                k - n + 1
+                <= max(fetches * 2.0, bool(fetches)) + fetches * (all_issued[k] - since) / 1e3 + 1e-6
             )
     for times in issued.values():
         assert len(times) <= 6.0 + 3.0 * 5.5 + 1e-6
@@ -177,10 +177,10 @@
     assert len(rows) >= 6
     row = next(one.stage.row for one in found["b"])
     left = ("a", "c")
-    heir = ordering_front_end(row, "s", left)
-    assert heir in left
+    successor = ordering_front_end(row, "s", left)
+    assert successor in left
     again = orders(
-        step(planner(), 0.0, [one for one in moves if one.session.row == row], view(me=heir, heard=left))
+        step(planner(), 0.0, [one for one in moves if one.session.row == row], view(me=successor, heard=left))
     )
     assert [one.stage.row for one in again] == [row]
     stays = [r for r in rows if ordering_front_end(r, "s", names) != "b"]
@@ -195,7 +195,7 @@
     assert PrefetchRelease("f1", "s") in step(plan, 1_500.0, [move(5)], view(calm=False))
     assert step(plan, 1_500.0 + S.quiet_ms - 1, [move(5)], view()) == []
     assert len(orders(step(plan, 1_500.0 + S.quiet_ms, [move(5)], view()))) == 1
-    assert plan.scores.sums == {}  # a surge is no fault of a predictor
+    assert plan.scores.sums == {}  # no predictor is charged for a surge
 
 
 def test_an_unused_order_is_released_charged_and_not_repeated_at_once():
@@ -219,7 +219,7 @@
         for _ in range(60):
             core.scores._of(name, 0.0).add(good, True)
         predictor = getattr(core, name)
-        predictor.moves = lambda _now, _watch, _span, some=made[name]: iter_(some)
+        predictor.moves = lambda _now, _watch, _span, some=made[name]: as_slices(some)
     core.step(0.0, view())
     assert {one.session.row for one in core.moves} == {"f1", "f2", "f3"}
     core.scores.charge(0.0, "trend", 99.0)
@@ -228,14 +228,14 @@
     assert core.best == "learnt"
 
 
-def iter_(found):
+def as_slices(found):
     yield
     return found
 
 
 def test_false_predictions_stop_prefetching_by_their_own_score():
-    """Sessions that look as if they were going, by turns, and never do."""
-    core, chance, staged = (
+    """Sessions make single calls in another zone but never move; the orders for them stop."""
+    core, rng, order_counts = (
         Prefetcher(Bounds(least=30, score_ms=300_000.0, allow=0.0), SITE, PRICES, "a"),
         random.Random(3),
         [],
@@ -243,18 +243,18 @@
     core.scores.predicted(0.0, [move(n, 0.9, "trend") for n in range(40)])
     core.scores.seen(
         1.0, m.ScanResult(tuple(m.SessionMoved(move(n).session, "n", "s") for n in range(40)))
-    )  # a good start
+    )  # the predictor starts with a good score
     assert core.scores.best(["trend"]) == "trend"
     for second in range(300):
         now = 1_000.0 * second
         for n in range(30):
             core.called(now, Session("club", f"f{n}"), "n")
-            if chance.random() < 0.01:
+            if rng.random() < 0.01:
                 core.called(now, Session("club", f"f{n}"), "s")
-        staged.append(len(orders(core.step(now, view()))))
+        order_counts.append(len(orders(core.step(now, view()))))
     assert core.best is None
-    assert sum(staged) > 0
-    assert sum(staged[150:]) == 0
+    assert sum(order_counts) > 0
+    assert sum(order_counts[150:]) == 0
 
 
 def test_in_the_trial_an_announced_drain_is_handled_nearly_as_well_as_by_the_oracle():
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -1,4 +1,4 @@
-"""Drives a front end's prefetcher with calls and passes."""
+"""Helpers that drive the prefetcher of a front end with calls and passes."""
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
@@ -14,25 +14,25 @@
 
 
 def rules(**changes):
-    """The settings of a site."""
-    told = dict(classes={"view": SPEC}, fleet_size=3, load_window_ms=5_000.0, free_loads=6.0, load_part=0.3)
-    return io.Settings(**(told | changes))
+    """Site settings, with `changes`."""
+    fields = dict(classes={"view": SPEC}, fleet_size=3, load_window_ms=5_000.0, free_loads=6.0, load_part=0.3)
+    return io.Settings(**(fields | changes))
 
 
 def staging(me="a", bounds=S, workers=9, **changes):
-    """A prefetcher that knows a roster of `workers` scorers."""
-    made = Staging(me, bounds, rules(**changes), Prices(0.15, 0.16, 0.01))
-    made.events(0.0, UNIX, [roster(range(workers))])
-    return made
+    """A prefetcher that has received a roster of `workers` scorers."""
+    prefetcher = Staging(me, bounds, rules(**changes), Prices(0.15, 0.16, 0.01))
+    prefetcher.events(0.0, UNIX, [roster(range(workers))])
+    return prefetcher
 
 
 def roster(workers, complete=True, **changes):
-    """A change of the roster: scorers spread over the zones."""
+    """A roster change with scorers spread over the zones."""
     return io.RosterChanged([io.ScorerEntry(n, zone=SITES[n % 3], **changes) for n in workers], complete)
 
 
 class Calls:
-    """Calls with their answers, as batches of events."""
+    """Builds the events of calls and of their responses."""
 
     count = 0
 
@@ -42,27 +42,27 @@
         """The events of one call."""
         self.count += 1
         worker = SITES.index(site) if worker is None else worker
-        came = io.RequestArrived(f"r{self.count}", row, "view", org, 3_000.0, 1, 40.0, 900.0)
-        return [came, io.AttemptEnded(came.request, 0, worker, ending, 100.0, True, warmth)]
+        arrived = io.RequestArrived(f"r{self.count}", row, "view", org, 3_000.0, 1, 40.0, 900.0)
+        return [arrived, io.AttemptEnded(arrived.request, 0, worker, ending, 100.0, True, warmth)]
 
 
-def look(one, now, seen=None):
-    """A whole pass, during which time stands still."""
-    beats = [one.beat(now, seen or Seen(heard=(one.me,), ordered=0))]
-    while one._slices is not None:
-        beats.append(one.beat(now, seen or Seen(heard=(one.me,), ordered=0)))
+def look(prefetcher, now, seen=None):
+    """Run a whole pass at time `now`."""
+    beats = [prefetcher.beat(now, seen or Seen(heard=(prefetcher.me,), ordered=0))]
+    while prefetcher._slices is not None:
+        beats.append(prefetcher.beat(now, seen or Seen(heard=(prefetcher.me,), ordered=0)))
     return beats
 
 
 def wanted(beats):
-    """The functions and scorers of all orders."""
+    """The (function, scorer) pairs of all orders."""
     return [(w.function, w.scorer) for beat in beats for w in beat.wanted]
 
 
-def drained_site(one, calls, rows, now=0.0, seen=None):
-    """Let sessions call at zone n, and announce its drain in 8 s."""
+def drained_site(prefetcher, calls, rows, now=0.0, seen=None):
+    """Let sessions call in zone n for 5 s, then announce its drain in 8 s."""
     for second in range(5):
         for row in rows:
-            one.events(now + 1_000.0 * second, UNIX, calls.events(row, "n"))
-        look(one, now + 1_000.0 * second, seen)
-    one.announced(now + 5_000.0, m.AnnouncedPlan("n", 1, "drain", (m.PlanStep(8_000.0, 0.0),)))
+            prefetcher.events(now + 1_000.0 * second, UNIX, calls.events(row, "n"))
+        look(prefetcher, now + 1_000.0 * second, seen)
+    prefetcher.announced(now + 5_000.0, m.AnnouncedPlan("n", 1, "drain", (m.PlanStep(8_000.0, 0.0),)))
