--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -73,7 +73,7 @@
         self.bounds, self.watch, self.destination, self.belongs = bounds, watch, destination, belongs
         self.idle_ms = site.idle_life_ms
         self.fleet_size = site.fleet_size
-        self.dropped = 0
+        self.dropped = 0  # orders not queued because the queue was full
         self._queue: dict[tuple[str, str], None] = {}
         self._ordered_at_ms: dict[tuple[str, str], float] = {}
         self._previous_out: frozenset[str] = frozenset()
--- a/fawnwharf/prefetch/budgets.py
+++ b/fawnwharf/prefetch/budgets.py
@@ -21,7 +21,7 @@
     ration_most: float  # load orders that it would allow if none had been given
     waiting: int  # calls that are waiting for a load
     facts: Callable[[str], FunctionProfile | None]  # function -> profile; None if unknown
-    order: Callable[[str, str], Sequence[str]]  # (function, zone) -> scorers in the load order of its calls
+    order: Callable[[str, str], Sequence[str]]  # (function, zone) -> scorers in the hash order of its calls
     cold_room: Callable[[str], float]  # scorer -> loads it may take besides its calls; infinite if warm
     spare_mb: Callable[[str], float]  # zone -> memory for prefetched copies, without those already loaded
     standing: Callable[[str, str], int]  # (function, zone) -> copies that are loaded or loading
--- a/fawnwharf/prefetch/fleet_model.py
+++ b/fawnwharf/prefetch/fleet_model.py
@@ -132,7 +132,7 @@
         self._orders: dict[tuple[str, str], list[Scorer]] = {}
 
     def order(self, row: str, site: str) -> list[Scorer]:
-        """Return the scorers of a zone in the load order of a function's calls."""
+        """Return the scorers of a zone in the hash order in which a function's calls look for copies."""
         key = (row, site)
         if key not in self._orders:
             self._orders[key] = sorted(
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -1,7 +1,7 @@
 """What one front end knows about scorers, copies and functions, as far as prefetching needs it. No I/O.
 
 Times are milliseconds of the monotonic clock and are passed in. Scorers are identified by the decision
-module's numbers. Load order, slow start, its limit and the load rate limit are computed by the decision
+module's numbers. Hash order, slow start, its limit and the load rate limit are computed by the decision
 module's own functions from the roster and the arrivals, so that the logic is not duplicated.
 """
 
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch.lru_map import LruMap
 from fawnwharf.session_types import Identifier
 
-MAX_LOAD_ORDERS = 512  # cached load orders, one per function
+MAX_HASH_ORDERS = 512  # cached hash orders, one per function
 MAX_ENTRIES_PER_ZONE = 20_000  # functions with copies, per zone
 REST_MS = 5_000.0  # a scorer that was full or failed gets no prefetch order for this time
 SMOOTHING_FACTOR = 0.2  # weight of one run or load in a function's moving averages
@@ -85,8 +85,8 @@
         return sum(worker.entry.units for worker in self.ready if site is None or worker.entry.zone == site)
 
     def order(self, row: str, site: str) -> list[int]:
-        """Return the scorers of a zone in the load order of a function's calls."""
-        if row not in self._functions_by_name and len(self._functions_by_name) >= MAX_LOAD_ORDERS:
+        """Return the scorers of a zone in the hash order in which a function's calls look for copies."""
+        if row not in self._functions_by_name and len(self._functions_by_name) >= MAX_HASH_ORDERS:
             self._functions_by_name.clear()
         fn = self._functions_by_name.setdefault(row, Function(row, "", 1, None, mark(row)))
         return [
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -53,7 +53,7 @@
 
 
 class AssignedOrder(Struct, frozen=True):
-    """A prefetch order, and the scorers that load one copy each, in the load order of the calls."""
+    """A prefetch order, and the scorers that load one copy each, in the hash order of the calls."""
 
     stage: PrefetchOrder
     scorers: tuple[Identifier, ...]
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -32,7 +32,7 @@
 MAX_SPAN_MS = 3_600_000.0  # longest duration that an order message may contain
 CALLS_PER_SLICE = 400
 DEMANDS_PER_SLICE = 12
-MAX_LOAD_ORDERS = 64  # load orders computed in one pass
+MAX_HASH_ORDERS = 64  # hash orders computed in one pass
 
 
 @dataclass(slots=True)
@@ -300,7 +300,7 @@
         share = fetch_shares(view, self.site.fleet_size)
         budgets = self._budgets(now_ms, view, share)
         found: list[m.AssignedOrder | PrefetchRelease] = []
-        load_orders = 0
+        hash_orders = 0
         for one in candidates:
             if len(self.held) >= MAX_HELD:
                 self._skip("too many held")
@@ -308,7 +308,7 @@
             if cause := self._missing_budget(one, budgets, view):
                 self._skip(cause)
                 continue
-            if (load_orders := load_orders + 1) > MAX_LOAD_ORDERS:
+            if (hash_orders := hash_orders + 1) > MAX_HASH_ORDERS:
                 self._skip("too many hash orders")
                 break
             yield
@@ -342,7 +342,7 @@
         return "no memory to spare" if budgets.spare_mb[site] < self._extra_mb(one) else ""
 
     def _scorers(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> list[str] | None:
-        """Return the first scorers in load order that may load one copy each; None if there are too few."""
+        """Return the first scorers in hash order that may load one copy each; None if there are too few."""
         found: list[str] = []
         room = budgets.cold_room
         for scorer in view.order(*one.key):
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -29,13 +29,14 @@
 class ScoreSums:
     """Decaying sums of one predictor."""
 
-    weight: float = 0.0
-    brier: float = 0.0
+    weight: float = 0.0  # number of scored predictions
+    brier: float = 0.0  # Brier score
     base: float = 0.0  # the Brier score of 'nothing moves' on the same predictions
     loss: float = 0.0  # log loss, natural logarithm
     base_loss: float = 0.0
     net: float = 0.0  # gain of prefetch orders minus their cost, in units of a mean call
     spent: float = 0.0  # cost of unused prefetch orders, in the same unit
+    # Per tenth of probability: [count, sum of probabilities, moves that happened].
     bins: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(BIN_COUNT)])
     at_ms: float = 0.0
 
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -41,7 +41,7 @@
     at_ms: float
     fast: float = 0.0
     slow: float = 0.0
-    since_ms: float = 0.0
+    since_ms: float = 0.0  # start of the current run of calls
 
 
 class SessionRate(Struct, eq=False, gc=False):
@@ -50,7 +50,7 @@
     began_ms: float
     last_ms: float
     site: str = ""
-    was: str = ""
+    was: str = ""  # previous zone
     chunk_index: int = 0  # chunk in the map of all sessions
     level: int = 0  # activity: binary exponent of its recent calls, as of the last pass with a call
     flows: tuple[Flow, ...] = ()
