--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -39,7 +39,7 @@
 class _HeldCopies:
     until_ms: float
     since_ms: float
-    by: dict[str, float]  # predictor -> its share of the chance
+    predictor_shares: dict[str, float]  # predictor -> its share of the chance
     sessions: frozenset[Session]
     price: float
     gain: float
@@ -126,14 +126,14 @@
                 self.used += 1
                 self._settle(now_ms, key, held.gain)
         yield
-        gone = []
+        releases = []
         for key, held in list(self.held.items()):
             if now_ms >= held.until_ms:
                 self.wasted += 1
                 self._settle(now_ms, key, -held.price)
                 self._start_dwell(now_ms, key)
-                gone.append(PrefetchRelease(*key))
-        return gone
+                releases.append(PrefetchRelease(*key))
+        return releases
 
     def step(
         self,
@@ -209,7 +209,7 @@
             candidate = self._evaluate(now_ms, key, demand, view, rate_ps)
             if candidate is not None:
                 candidates.append(candidate)
-        candidates.sort(key=lambda one: (-one.value, one.key))
+        candidates.sort(key=lambda candidate: (-candidate.value, candidate.key))
         return candidates
 
     def _evaluate(
@@ -282,14 +282,14 @@
         self, now_ms: float, demand: _Demand, facts: FunctionProfile, copies: int, gain: float
     ) -> _HeldCopies:
         """Return the record of ordered copies; each predictor has its share of the total chance."""
-        by: dict[str, float] = {}
+        predictor_shares: dict[str, float] = {}
         for move in demand.moves:
-            by[move.predictor] = by.get(move.predictor, 0.0) + move.probability
-        total = sum(by.values())
+            predictor_shares[move.predictor] = predictor_shares.get(move.predictor, 0.0) + move.probability
+        total = sum(predictor_shares.values())
         until = min(facts.load_ms + self._copy_life_ms(facts), MAX_SPAN_MS)
         wasted = copies * (unused_load_cost(self.settings, self.prices, facts) + self.prices.probe)
         sessions = frozenset(move.session for move in demand.moves)
-        shares = {name: part / total for name, part in by.items()}
+        shares = {name: part / total for name, part in predictor_shares.items()}
         return _HeldCopies(now_ms + until, now_ms, shares, sessions, wasted, gain, facts.memory_mb * copies)
 
     def _order_candidates(
@@ -301,23 +301,23 @@
         budgets = self._budgets(now_ms, view, share)
         found: list[m.AssignedOrder | PrefetchRelease] = []
         hash_orders = 0
-        for one in candidates:
+        for candidate in candidates:
             if len(self.held) >= MAX_HELD:
                 self._skip("too many held")
                 break
-            if cause := self._missing_budget(one, budgets, view):
+            if cause := self._missing_budget(candidate, budgets, view):
                 self._skip(cause)
                 continue
             if (hash_orders := hash_orders + 1) > MAX_HASH_ORDERS:
                 self._skip("too many hash orders")
                 break
             yield
-            scorers = self._scorers(one, budgets, view)
+            scorers = self._scorers(candidate, budgets, view)
             if scorers is None:
                 self._skip("cold scorers")
                 continue
-            self._spend(one, scorers, budgets, share)
-            found.append(self._order(now_ms, one, scorers))
+            self._spend(candidate, scorers, budgets, share)
+            found.append(self._order(now_ms, candidate, scorers))
         return found
 
     def _budgets(self, now_ms: float, view: PlannerView, share: float) -> _Budgets:
@@ -327,48 +327,50 @@
             kept = self.settings.free_part * view.ration_most + view.waiting
         return _Budgets(fetches, view.ration - kept)
 
-    def _extra_mb(self, one: _Candidate) -> float:
+    def _extra_mb(self, candidate: _Candidate) -> float:
         """Return the memory that a candidate needs beyond what is already held for it, in megabytes."""
-        return one.held.memory_mb - (self.held[one.key].memory_mb if one.key in self.held else 0.0)
+        return candidate.held.memory_mb - (
+            self.held[candidate.key].memory_mb if candidate.key in self.held else 0.0
+        )
 
-    def _missing_budget(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> str:
+    def _missing_budget(self, candidate: _Candidate, budgets: _Budgets, view: PlannerView) -> str:
         """Return which budget is too small for a candidate, or an empty string."""
-        if min(budgets.fetches, budgets.orders) < one.copies:
-            return "no fetch left" if budgets.fetches < one.copies else "no ration left"
-        site = one.key[1]
+        if min(budgets.fetches, budgets.orders) < candidate.copies:
+            return "no fetch left" if budgets.fetches < candidate.copies else "no ration left"
+        site = candidate.key[1]
         if site not in budgets.spare_mb:
             mine = sum(held.memory_mb for (_, at), held in self.held.items() if at == site)
             budgets.spare_mb[site] = view.spare_mb(site) - mine
-        return "no memory to spare" if budgets.spare_mb[site] < self._extra_mb(one) else ""
+        return "no memory to spare" if budgets.spare_mb[site] < self._extra_mb(candidate) else ""
 
-    def _scorers(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> list[str] | None:
+    def _scorers(self, candidate: _Candidate, budgets: _Budgets, view: PlannerView) -> list[str] | None:
         """Return the first scorers in hash order that may load one copy each; None if there are too few."""
         found: list[str] = []
         room = budgets.cold_room
-        for scorer in view.order(*one.key):
+        for scorer in view.order(*candidate.key):
             if room.setdefault(scorer, view.cold_room(scorer)) >= 1.0:
                 found.append(scorer)
-            if len(found) == one.copies:
+            if len(found) == candidate.copies:
                 return found
         return None
 
-    def _spend(self, one: _Candidate, scorers: list[str], budgets: _Budgets, share: float) -> None:
+    def _spend(self, candidate: _Candidate, scorers: list[str], budgets: _Budgets, share: float) -> None:
         for scorer in scorers:
             budgets.cold_room[scorer] -= 1.0
-        budgets.fetches -= one.copies
-        budgets.orders -= one.copies
-        budgets.spare_mb[one.key[1]] -= self._extra_mb(one)
-        self._fleet_bucket.tokens -= one.copies * share
-        self._own_bucket.tokens -= one.copies
-
-    def _order(self, now_ms: float, one: _Candidate, scorers: list[str]) -> m.AssignedOrder:
-        row, site = one.key
-        self.held[one.key] = one.held
-        self._dwell_until_ms.pop(one.key, None)
-        self.ordered += one.copies
-        why = "+".join(sorted(one.held.by)) + f" {one.chance:.2f}"
+        budgets.fetches -= candidate.copies
+        budgets.orders -= candidate.copies
+        budgets.spare_mb[candidate.key[1]] -= self._extra_mb(candidate)
+        self._fleet_bucket.tokens -= candidate.copies * share
+        self._own_bucket.tokens -= candidate.copies
+
+    def _order(self, now_ms: float, candidate: _Candidate, scorers: list[str]) -> m.AssignedOrder:
+        row, site = candidate.key
+        self.held[candidate.key] = candidate.held
+        self._dwell_until_ms.pop(candidate.key, None)
+        self.ordered += candidate.copies
+        why = "+".join(sorted(candidate.held.predictor_shares)) + f" {candidate.chance:.2f}"
         return m.AssignedOrder(
-            PrefetchOrder(row, site, one.copies, one.held.until_ms - now_ms, why), tuple(scorers)
+            PrefetchOrder(row, site, candidate.copies, candidate.held.until_ms - now_ms, why), tuple(scorers)
         )
 
     def failed(self, now_ms: float, row: str, site: str) -> bool:
@@ -384,11 +386,11 @@
 
     def _settle(self, now_ms: float, key: tuple[str, str], net: float) -> None:
         held = self.held.pop(key)
-        for by, part in held.by.items():
+        for predictor, part in held.predictor_shares.items():
             if net < 0:
-                self.scores.charge(now_ms, by, -net * part)
+                self.scores.charge(now_ms, predictor, -net * part)
             elif net > 0:
-                self.scores.credit(now_ms, by, net * part)
+                self.scores.credit(now_ms, predictor, net * part)
 
     def _start_dwell(self, now_ms: float, key: tuple[str, str]) -> None:
         self._dwell_until_ms.pop(key, None)
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -48,14 +48,14 @@
         for row in self.bins:
             row[:] = [value * part for value in row]
 
-    def add(self, chance: float, came: bool) -> None:
+    def add(self, chance: float, happened: bool) -> None:
         """Add a prediction's probability and whether the move happened."""
-        seen = float(came)
+        seen = float(happened)
         self.weight += 1.0
         self.brier += (chance - seen) ** 2
         self.base += seen
-        self.loss -= math.log(_clip_probability(chance if came else 1.0 - chance))
-        self.base_loss -= math.log(MIN_PROBABILITY if came else 1.0 - MIN_PROBABILITY)
+        self.loss -= math.log(_clip_probability(chance if happened else 1.0 - chance))
+        self.base_loss -= math.log(MIN_PROBABILITY if happened else 1.0 - MIN_PROBABILITY)
         row = self.bins[min(BIN_COUNT - 1, int(chance * BIN_COUNT))]
         row[0] += 1.0
         row[1] += chance
@@ -118,9 +118,9 @@
         for sums in self.sums.values():
             sums.fade(now_ms, self.settings.score_ms)
         moved = yield from self._observed_moves(beat)
-        for by, held in self._open.items():
-            closing = yield from self._keys_to_score(by, moved, now_ms)
-            yield from self._score_keys(by, held, closing, moved, now_ms)
+        for predictor, held in self._open.items():
+            closing = yield from self._keys_to_score(predictor, moved, now_ms)
+            yield from self._score_keys(predictor, held, closing, moved, now_ms)
 
     def _observed_moves(self, beat: m.ScanResult) -> Slices[dict[Key, None]]:
         """Return the moves of a pass, and count those that were not predicted."""
@@ -133,9 +133,11 @@
             self.missed += not any(key in held for held in self._open.values())
         return moved
 
-    def _keys_to_score(self, by: str, moved: dict[Key, None], now_ms: float) -> Slices[dict[Key, None]]:
+    def _keys_to_score(
+        self, predictor: str, moved: dict[Key, None], now_ms: float
+    ) -> Slices[dict[Key, None]]:
         """Return the keys of one predictor that may be scored: those that moved and those overdue."""
-        due, found = self._due_heaps.get(by, []), dict.fromkeys(moved)
+        due, found = self._due_heaps.get(predictor, []), dict.fromkeys(moved)
         while due and due[0][0] < now_ms:
             found[heapq.heappop(due)[2]] = None
             if len(found) % (2 * KEYS_PER_SLICE) == 0:
@@ -144,42 +146,42 @@
 
     def _score_keys(
         self,
-        by: str,
+        predictor: str,
         held: dict[Key, list[OpenPrediction]],
         keys: dict[Key, None],
         moved: dict[Key, None],
         now_ms: float,
     ) -> Slices[None]:
         """Score the predictions of `keys` that came true or are overdue; keep the others open."""
-        done = 0
+        work = 0
         for key in keys:
             if key not in held:
                 continue
-            done += 1 + len(held[key])
-            if done > KEYS_PER_SLICE:
-                done = 0
+            work += 1 + len(held[key])
+            if work > KEYS_PER_SLICE:
+                work = 0
                 yield
-            came, made = key in moved, held.pop(key)
-            over = [one for one in made if came or one[1] < now_ms]
-            self._open_count[by] -= len(over)
-            for chance, due in over:
-                self._of(by, now_ms).add(chance, came and due >= now_ms)
-            if len(over) < len(made):
-                held[key] = [one for one in made if one[1] >= now_ms]
-
-    def charge(self, now_ms: float, by: str, cost: float) -> None:
+            happened, predictions = key in moved, held.pop(key)
+            resolved = [one for one in predictions if happened or one[1] < now_ms]
+            self._open_count[predictor] -= len(resolved)
+            for chance, due in resolved:
+                self._of(predictor, now_ms).add(chance, happened and due >= now_ms)
+            if len(resolved) < len(predictions):
+                held[key] = [one for one in predictions if one[1] >= now_ms]
+
+    def charge(self, now_ms: float, predictor: str, cost: float) -> None:
         """Charge a predictor for an unused prefetch order, in units of a mean call."""
-        sums = self._of(by, now_ms)
+        sums = self._of(predictor, now_ms)
         sums.net -= cost
         sums.spent += cost
 
-    def credit(self, now_ms: float, by: str, gain: float) -> None:
+    def credit(self, now_ms: float, predictor: str, gain: float) -> None:
         """Credit a predictor for a used prefetch order with what calls would have lost without it."""
-        self._of(by, now_ms).net += gain
+        self._of(predictor, now_ms).net += gain
 
-    def good(self, by: str) -> bool:
+    def good(self, predictor: str) -> bool:
         """Return whether a predictor was recently good enough to be used."""
-        sums = self.sums.get(by)
+        sums = self.sums.get(predictor)
         if sums is None or sums.weight < self.settings.least:
             return False
         return (
@@ -190,16 +192,16 @@
 
     def best(self, names: list[str]) -> str | None:
         """Return the usable predictor with the highest skill among `names`, or None."""
-        able = [name for name in names if self.good(name)]
-        return max(able, key=lambda name: (self.sums[name].skill, name), default=None)
+        usable = [name for name in names if self.good(name)]
+        return max(usable, key=lambda name: (self.sums[name].skill, name), default=None)
 
-    def table(self, by: str) -> list[tuple[float, float, float]]:
+    def table(self, predictor: str) -> list[tuple[float, float, float]]:
         """Return the reliability table by tenths of probability.
 
         Each row has the count, the mean probability, and the fraction that came true.
         """
-        rows = self.sums.get(by, ScoreSums()).bins
+        rows = self.sums.get(predictor, ScoreSums()).bins
         return [(n, p / n if n else 0.0, seen / n if n else 0.0) for n, p, seen in rows]
 
-    def _of(self, by: str, now_ms: float) -> ScoreSums:
-        return self.sums.setdefault(by, ScoreSums(at_ms=now_ms))
+    def _of(self, predictor: str, now_ms: float) -> ScoreSums:
+        return self.sums.setdefault(predictor, ScoreSums(at_ms=now_ms))
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -93,25 +93,32 @@
         `view` is called once, as late as possible.
         """
         watch, scores, planner = self.watch, self.scores, self.planner
-        beat = yield from watch.look(now_ms)
-        yield from scores.scoring(now_ms, beat)
-        found: list[m.AssignedOrder | PrefetchRelease] = list((yield from planner.marking(now_ms, beat)))
-        able = (self.trend, self.learnt)
-        made: dict[str, list[PredictedMove]] = {}
-        for predictor in able:
-            yield from predictor.learn(now_ms, watch, beat)
-            made[predictor.name] = yield from predictor.moves(now_ms, watch, self.span_ms)
+        scan_result = yield from watch.look(now_ms)
+        yield from scores.scoring(now_ms, scan_result)
+        found: list[m.AssignedOrder | PrefetchRelease] = list(
+            (yield from planner.marking(now_ms, scan_result))
+        )
+        predictors = (self.trend, self.learnt)
+        moves_by_predictor: dict[str, list[PredictedMove]] = {}
+        for predictor in predictors:
+            yield from predictor.learn(now_ms, watch, scan_result)
+            moves_by_predictor[predictor.name] = yield from predictor.moves(now_ms, watch, self.span_ms)
             yield
         certain = yield from self.plans.moves(now_ms, watch, self.life_ms)
-        for moves in (*made.values(), certain):
+        for moves in (*moves_by_predictor.values(), certain):
             yield from scores.noting(now_ms, moves)
-        self.best = scores.best([predictor.name for predictor in able])
-        still = self.plans.standby()
+        self.best = scores.best([predictor.name for predictor in predictors])
+        standby_zones = self.plans.standby()
         # All good predictors are used: each is scored on its own predictions, so scores are not comparable.
-        good = [name for name in made if scores.good(name)]
-        guessed = [move for name in good for move in made[name] if move.destination not in still]
+        good = [name for name in moves_by_predictor if scores.good(name)]
+        uncertain = [
+            move
+            for name in good
+            for move in moves_by_predictor[name]
+            if move.destination not in standby_zones
+        ]
         seen = view()
-        self.moves = self._due(certain, len(seen.heard)) + guessed
+        self.moves = self._due(certain, len(seen.heard)) + uncertain
         yield
         planned = yield from planner.planning(
             now_ms, self.moves, seen, lambda session: self._rate(now_ms, session)
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -76,20 +76,20 @@
         return self._size
 
     def __contains__(self, session: Session) -> bool:
-        return any(session in some for some in self._levels.values())
+        return any(session in sessions for sessions in self._levels.values())
 
     def add(self, session: Session, track: SessionRate) -> None:
         """Add a session at its track's level."""
-        some = self._levels.setdefault(track.level, {})
-        self._size += session not in some
-        some[session] = track
+        sessions = self._levels.setdefault(track.level, {})
+        self._size += session not in sessions
+        sessions[session] = track
 
     def remove(self, session: Session, track: SessionRate) -> None:
         """Remove a session from its track's level, if it is there."""
-        some = self._levels.get(track.level, {})
-        if some.pop(session, None) is not None:
+        sessions = self._levels.get(track.level, {})
+        if sessions.pop(session, None) is not None:
             self._size -= 1
-            if not some:
+            if not sessions:
                 del self._levels[track.level]
 
     def one(self) -> SessionRate:
@@ -252,14 +252,14 @@
         for owner in owners[first:] + owners[:first]:
             left = min(len(self._increased.get(owner, ())), MAX_INCREASES - count)
             while left > 0 and (
-                some := list(islice(self._increased.get(owner, ()), min(left, INCREASES_PER_SLICE)))
+                batch := list(islice(self._increased.get(owner, ()), min(left, INCREASES_PER_SLICE)))
             ):
-                left, count = left - len(some), count + len(some)
-                for flow in some:
+                left, count = left - len(batch), count + len(batch)
+                for flow in batch:
                     if increase := self._increase(owner, flow):
                         self._add(flow, increase, now_ms)
                         called[flow] = sessions[flow.session] = None
-                slice_count += len(some)
+                slice_count += len(batch)
                 if slice_count >= INCREASES_PER_SLICE:
                     slice_count = 0
                     yield
