--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -178,10 +178,10 @@
     return LearnedState(
         monotonic_ms,
         sorted(scorers_in_maintenance),
-        started_age_ms=clock_ms - min(clock_ms, router.began_ms),
+        started_age_ms=clock_ms - min(clock_ms, router.first_event_ms),
         run_ms=router.run_ms,
         concurrent_load_limit=router.loads_limit,
-        largest_scorer_fleet=router.largest_fleet,
+        largest_scorer_fleet=router.largest_ready_size,
         hedge_tokens=router.hedge_tokens,
         request_ages_ms=_ages(router.arrivals_ms, clock_ms),
         load_command_ages_ms=_ages(router.load_orders_ms, clock_ms),
@@ -189,7 +189,7 @@
             tenant: LearnedQuota(tokens, clock_ms - refilled_ms)
             for tenant, (tokens, refilled_ms) in router.quota_tokens.items()
         },
-        run_time_samples=_aged(router.runs, clock_ms),
+        run_time_samples=_aged(router.run_times, clock_ms),
         scorers=_captured_scorers(router, clock_ms),
         functions=_captured_functions(router, clock_ms),
     )
@@ -200,7 +200,7 @@
 
 
 def _aged(samples: state.Samples, clock_ms: float) -> AgedSamples:
-    return [(clock_ms - at_ms, value) for at_ms, value in samples.timed]
+    return [(clock_ms - at_ms, value) for at_ms, value in samples.timed_values]
 
 
 def _captured_scorers(router: Router, clock_ms: float) -> list[LearnedScorer]:
@@ -214,7 +214,7 @@
         started_age_ms=clock_ms - scorer.started_ms,
         slowdown_factor=scorer.slowdown,
         slowdown_age_ms=clock_ms - scorer.slowdown_ms,
-        suspect_age_ms=None if scorer.suspect_ms is None else clock_ms - scorer.suspect_ms,
+        suspect_age_ms=None if scorer.suspect_since_ms is None else clock_ms - scorer.suspect_since_ms,
         slow_start_send_ages_ms=_ages(scorer.slow_start_sends, clock_ms),
         losses_by_class={
             kind: LearnedLosses(record.losses, clock_ms - record.ejected_until_ms, record.ejection_ms)
@@ -224,23 +224,23 @@
 
 
 def _captured_functions(router: Router, clock_ms: float) -> list[LearnedFunction]:
-    latest = sorted(router.functions.values(), key=lambda function: -function.needed_ms)[:MAX_FUNCTIONS]
+    latest = sorted(router.functions.values(), key=lambda function: -function.last_needed_ms)[:MAX_FUNCTIONS]
     return [_captured_function(function, clock_ms) for function in latest]
 
 
 def _captured_function(function: state.Function, clock_ms: float) -> LearnedFunction:
     return LearnedFunction(
         name=function.name,
-        kind=function.kind,
+        kind=function.class_name,
         lanes=function.lanes,
-        reported_load_time_ms=function.load_told_ms,
-        run_time_samples=_aged(function.runs, clock_ms),
-        load_time_samples=_aged(function.loads, clock_ms),
-        queue_wait_samples=_aged(function.waits, clock_ms),
-        call_ages_ms=_ages(function.last_ms, clock_ms),
-        speculative_idle_ms=function.idle_ms,
-        speculates=function.load_path,
-        decaying_arrivals=function.arrived,
+        reported_load_time_ms=function.reported_load_time_ms,
+        run_time_samples=_aged(function.run_times, clock_ms),
+        load_time_samples=_aged(function.load_times, clock_ms),
+        queue_wait_samples=_aged(function.queue_waits, clock_ms),
+        call_ages_ms=_ages(function.last_arrivals_ms, clock_ms),
+        speculative_idle_ms=function.speculative_idle_ms,
+        speculates=function.speculates,
+        decaying_arrivals=function.decaying_arrivals,
         wanted_scorers=function.spread,
         reported_concurrency=function.reported_concurrency,
         copies_at_scorers=_captured_copies(function, clock_ms),
@@ -254,7 +254,7 @@
             count=instance.copies,
             seen_age_ms=clock_ms - instance.seen_ms,
             counted_age_ms=clock_ms - instance.counted_ms,
-            blocked_until_age_ms=clock_ms - instance.blocked_ms,
+            blocked_until_age_ms=clock_ms - instance.blocked_until_ms,
         )
         for scorer_number, instance in function.copies_by_scorer.items()
         if instance.copies
@@ -270,16 +270,16 @@
     The module must not have seen a request yet. Both times are now, on its clock and on the monotonic clock.
     """
     written_ms = clock_ms - (monotonic_ms - learned.written_monotonic_ms)  # on the module's clock
-    router.began_ms = written_ms - learned.started_age_ms
+    router.first_event_ms = written_ms - learned.started_age_ms
     router.run_ms = learned.run_ms
     router.loads_limit = learned.concurrent_load_limit
     router.hedge_tokens = learned.hedge_tokens
-    router.largest_fleet = max(router.largest_fleet, learned.largest_scorer_fleet)
+    router.largest_ready_size = max(router.largest_ready_size, learned.largest_scorer_fleet)
     router.arrivals_ms.extend(_times(learned.request_ages_ms, written_ms))
     router.load_orders_ms.extend(_times(learned.load_command_ages_ms, written_ms))
     for tenant, quota in learned.quota_by_tenant.items():
         router.quota_tokens[tenant] = (quota.tokens, written_ms - quota.refill_age_ms)
-    router.runs = _samples(learned.run_time_samples, written_ms)
+    router.run_times = _samples(learned.run_time_samples, written_ms)
     for scorer in learned.scorers:
         _restore_scorer(router, scorer, written_ms)
     for function in learned.functions:
@@ -293,7 +293,7 @@
 
 def _samples(aged: AgedSamples, written_ms: float) -> state.Samples:
     samples = state.Samples()
-    samples.timed.extend((written_ms - age, value) for age, value in aged)
+    samples.timed_values.extend((written_ms - age, value) for age, value in aged)
     return samples
 
 
@@ -312,23 +312,27 @@
         record.ejection_ms = losses.ejection_ms
         scorer.loss_records[kind] = record
     if learned.suspect_age_ms is not None:
-        scorer.suspect_ms = scorer.probed_ms = written_ms - learned.suspect_age_ms
+        scorer.suspect_since_ms = scorer.probe_sent_ms = written_ms - learned.suspect_age_ms
         router.watched[scorer.id] = scorer
-        router.suspects += scorer.entry.state == ScorerState.READY
+        router.suspect_count += scorer.entry.state == ScorerState.READY
 
 
 def _restored_function(router: Router, learned: LearnedFunction, written_ms: float) -> state.Function:
     function = state.Function(
-        learned.name, learned.kind, learned.lanes, learned.reported_load_time_ms, state.mark(learned.name)
+        learned.name,
+        learned.kind,
+        learned.lanes,
+        learned.reported_load_time_ms,
+        state.name_hash(learned.name),
     )
-    function.runs = _samples(learned.run_time_samples, written_ms)
-    function.loads = _samples(learned.load_time_samples, written_ms)
-    function.waits = _samples(learned.queue_wait_samples, written_ms)
-    function.last_ms.extend(_times(learned.call_ages_ms, written_ms))
-    function.needed_ms = max(function.last_ms, default=written_ms)
-    function.idle_ms = learned.speculative_idle_ms
-    function.load_path = learned.speculates
-    function.arrived = learned.decaying_arrivals
+    function.run_times = _samples(learned.run_time_samples, written_ms)
+    function.load_times = _samples(learned.load_time_samples, written_ms)
+    function.queue_waits = _samples(learned.queue_wait_samples, written_ms)
+    function.last_arrivals_ms.extend(_times(learned.call_ages_ms, written_ms))
+    function.last_needed_ms = max(function.last_arrivals_ms, default=written_ms)
+    function.speculative_idle_ms = learned.speculative_idle_ms
+    function.speculates = learned.speculates
+    function.decaying_arrivals = learned.decaying_arrivals
     function.spread = learned.wanted_scorers
     function.reported_concurrency = learned.reported_concurrency
     for copies in learned.copies_at_scorers:
@@ -346,6 +350,6 @@
         learned.count,
         written_ms - learned.seen_age_ms,
         written_ms - learned.counted_age_ms,
-        blocked_ms=written_ms - learned.blocked_until_age_ms,
+        blocked_until_ms=written_ms - learned.blocked_until_age_ms,
     )
     scorer.last_function = function
--- a/fawnwharf/interface.py
+++ b/fawnwharf/interface.py
@@ -60,9 +60,9 @@
 class Warmth(IntEnum):
     """What an answer reports about the copy of the function that served its call."""
 
-    UNTOLD = 0  # the answer reports nothing
+    NOT_REPORTED = 0  # the answer reports nothing
     FOUND = 1  # a copy was loaded already
-    BEGAN_LOAD = 2  # the call started the load of a copy
+    STARTED_LOAD = 2  # the call started the load of a copy
     WAITED_FOR_LOAD = 3  # the call waited for a load in progress
     LOAD_FAILED = 4  # the load failed
 
@@ -176,7 +176,7 @@
     result: AttemptResult
     took_ms: float  # time from the send to the end
     closed: bool  # whether the request got its final answer from this attempt
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: Warmth = Warmth.NOT_REPORTED
     # Calls of the function in flight at the scorer when this one arrived; None: not reported.
     reported_concurrency: int | None = None
     report: dict[str, float] | None = None  # load report of the scorer; None: not reported
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -274,7 +274,7 @@
         if answer is None:
             complete = attempt.complete or not self._may_repeat(attempt)
             result = attempt_result(end or EndReason.NEVER_SENT, attempt.begun, complete)
-            warmth = io.Warmth.UNTOLD
+            warmth = io.Warmth.NOT_REPORTED
             concurrency = None
         else:
             result = answer.ending
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -332,7 +332,7 @@
     def answered(self, stream: Stream, frame: frames.Frame) -> None:
         """End a stream with the scorer's answer."""
         fields = frame.fields
-        warmth = WARMTH_BY_FIELD.get(fields.get("res", ""), Warmth.UNTOLD)
+        warmth = WARMTH_BY_FIELD.get(fields.get("res", ""), Warmth.NOT_REPORTED)
         concurrency = parse_count(fields.get("company"))
         copies = parse_count(fields.get("slots_up"))
         self._end(stream, None, Answer(stream.result_of(frame.code), frame.body, warmth, concurrency, copies))
--- a/fawnwharf/net/scorer_streams.py
+++ b/fawnwharf/net/scorer_streams.py
@@ -16,7 +16,7 @@
 
 WARMTH_BY_FIELD = {
     "reused": Warmth.FOUND,
-    "init": Warmth.BEGAN_LOAD,
+    "init": Warmth.STARTED_LOAD,
     "shared_init": Warmth.WAITED_FOR_LOAD,
     "init_error": Warmth.LOAD_FAILED,
 }
--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -62,7 +62,7 @@
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
         """Whether a request may be sent to a scorer now, if it may use `part` of the scorer's limit."""
-        if not self._can_take(scorer, request.function) or scorer.in_flight >= scorer.limit * part:
+        if not self._can_take(scorer, request.function) or scorer.in_flight >= scorer.in_flight_limit * part:
             return False
         return self._may_run_at(request, scorer)
 
@@ -140,8 +140,8 @@
     def _refresh(self) -> None:
         """Recompute what depends on the roster, the settings and the recent run times."""
         sizes = {scorer.id: self._configured_size(scorer) for scorer in self.ready}
-        if sizes != self.members:
-            self.members = sizes
+        if sizes != self.scorer_sizes:
+            self.scorer_sizes = sizes
         self._refresh_copies()
         if self.now - self.last_cleanup_ms >= FORGET_MS / 4:
             self._drop_unused_state()
@@ -151,10 +151,10 @@
         draining = [
             scorer for scorer in self.scorers.values() if scorer.entry.state is io.ScorerState.DRAINING
         ]
-        self.largest_fleet = max(self.largest_fleet, full_size)
+        self.largest_ready_size = max(self.largest_ready_size, full_size)
         self.largest_listed_size = max(
             self.largest_listed_size,
-            self.largest_fleet,
+            self.largest_ready_size,
             full_size + sum(map(self._configured_size, draining)),
         )
         self.refreshed_ms = self.now
@@ -170,10 +170,10 @@
         quota = self.total_quota_per_ms
         limit_sum = 0.0
         for scorer in self.ready:
-            mean = quota * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
+            mean = quota * self.run_ms * self._size(scorer) / self.largest_ready_size  # of all front ends
             limit_sum += self._with_margin(mean)
             own = self._with_margin(mean / self.front_ends)
-            scorer.limit = max(2.0 if self.many_front_ends else 1.0, own) if quota > 0 else math.inf
+            scorer.in_flight_limit = max(2.0 if self.many_front_ends else 1.0, own) if quota > 0 else math.inf
         self.mean_concurrency_limit = (
             limit_sum / max(1, len(self.ready)) if quota > 0 else 2 * routing.MIN_IN_FLIGHT_BOUND
         )
@@ -183,16 +183,16 @@
         self.many_front_ends = self.mean_concurrency_limit < self.front_ends
         self.max_slowdown = math.inf
         self.silence_limit_ms = SILENCE_LIMIT_MS
-        self.limit = math.inf
+        self.attempt_limit = math.inf
         if not self.many_front_ends:
             return
         slowdowns = sorted(self._slowdown_of(scorer) for scorer in self.ready)
         if slowdowns:
             self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
-        self.silence_limit_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
+        self.silence_limit_ms = health.LOST_RUNS * (self.run_times.median(self.now) or 200.0)
         # With more requests in flight, all of them would be late.
         mean_in_flight = self.total_quota_per_ms * self.latency_target_ms * MAX_LATE_PART / self.front_ends
-        self.limit = self._with_margin(mean_in_flight or math.inf)
+        self.attempt_limit = self._with_margin(mean_in_flight or math.inf)
 
     def _configured_size(self, scorer: Scorer) -> float:
         """A scorer's full size: the one in the roster if the settings say that it is reliable, else 1."""
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -34,7 +34,7 @@
 
         A suspect may not, unless most ready scorers are suspects: then the fault is probably on this side.
         """
-        is_responsive = scorer.suspect_ms is None or self.suspects * 2 > len(self.ready)
+        is_responsive = scorer.suspect_since_ms is None or self.suspect_count * 2 > len(self.ready)
         may_serve = scorer.takes_new() and self._may_be_in_service(scorer)
         return is_responsive and may_serve and not (scorer.loss_records and self._is_ejected(scorer, fn))
 
@@ -65,10 +65,10 @@
     def _mark_alive(self, scorer: Scorer, after_ms: float = 0.0) -> None:
         """Record a sign of life; with calls in flight, silence is measured from `after_ms` after now."""
         scorer.awaiting_since_ms = self.now + after_ms if scorer.in_flight else None
-        scorer.probed_ms = None
-        if scorer.suspect_ms is not None:
-            self.suspects -= scorer.takes_new()
-            scorer.suspect_ms = None
+        scorer.probe_sent_ms = None
+        if scorer.suspect_since_ms is not None:
+            self.suspect_count -= scorer.takes_new()
+            scorer.suspect_since_ms = None
             self.actions.append(io.Log(f"scorer {scorer.id} responds again"))
 
     def _watch_scorer(self, scorer: Scorer) -> None:
@@ -76,9 +76,9 @@
 
         The drawback is that a scorer that is only busy gets no calls for a while.
         """
-        is_probed = scorer.probed_ms is not None
-        is_suspect = scorer.suspect_ms is not None
-        since_ms = scorer.probed_ms if is_probed else scorer.awaiting_since_ms
+        is_probed = scorer.probe_sent_ms is not None
+        is_suspect = scorer.suspect_since_ms is not None
+        since_ms = scorer.probe_sent_ms if is_probed else scorer.awaiting_since_ms
         if since_ms is None:
             del self.watched[scorer.id]
             return
@@ -96,7 +96,7 @@
 
     def _probe_scorer(self, scorer: Scorer) -> None:
         """Probe whether a scorer answers, with the function last used there."""
-        scorer.probed_ms = self.now
+        scorer.probe_sent_ms = self.now
         may_probe = self.settings.load_orders_allowed and scorer.entry.state != io.ScorerState.GONE
         if scorer.last_function and may_probe:
             self._probe(scorer.last_function, scorer)
@@ -109,18 +109,18 @@
         """
         if result in (io.AttemptResult.CONNECT_FAILED, io.AttemptResult.RESET):
             self._note_possible_restart(scorer)
-        if scorer.suspect_ms is not None:
+        if scorer.suspect_since_ms is not None:
             return
         if result is io.AttemptResult.CONNECT_FAILED:
             self._suspect(scorer)
-        elif result is io.AttemptResult.RESET and scorer.probed_ms is None:
+        elif result is io.AttemptResult.RESET and scorer.probe_sent_ms is None:
             self._probe_scorer(scorer)
 
     def _suspect(self, scorer: Scorer) -> None:
         """Treat a scorer as failed: it gets no new calls, and its attempts are retried at other scorers."""
-        scorer.suspect_ms = scorer.probed_ms = self.now
+        scorer.suspect_since_ms = scorer.probe_sent_ms = self.now
         self.watched[scorer.id] = scorer
-        self.suspects += scorer.takes_new()
+        self.suspect_count += scorer.takes_new()
         self.actions.append(io.Log(f"scorer {scorer.id} does not respond: no new calls go there"))
         for attempt in [attempt for attempt in self.attempts.values() if attempt.scorer == scorer.id]:
             request = self.requests.get(attempt.request)
@@ -136,7 +136,7 @@
         unprobed = [
             other
             for other in zone_scorers
-            if other.suspect_ms is None and other.probed_ms is None and other.last_function
+            if other.suspect_since_ms is None and other.probe_sent_ms is None and other.last_function
         ]
         if len(zone_scorers) - len(unprobed) >= ZONE_PROBES:
             for other in unprobed:
@@ -150,10 +150,12 @@
         for attempt in list(self.attempts.values()):
             fn = attempt.function
             scorer = self.scorers[attempt.scorer]
-            record = scorer.loss_records.get(fn.kind)
+            record = scorer.loss_records.get(fn.class_name)
             runs = OVERDUE_RUNS if record is not None and record.losses >= EJECTION_LOSSES else LOST_RUNS
-            due_ms = attempt.sent_ms + runs * max(self._run_time_ms(fn), self.runs.median(self.now) or 0.0)
-            if attempt.lost or scorer.suspect_ms is not None or self.now < due_ms:
+            due_ms = attempt.sent_ms + runs * max(
+                self._run_time_ms(fn), self.run_times.median(self.now) or 0.0
+            )
+            if attempt.lost or scorer.suspect_since_ms is not None or self.now < due_ms:
                 continue
             attempt.lost = True
             request = self.requests.get(attempt.request)
@@ -177,7 +179,7 @@
 
     def _record_loss(self, scorer: Scorer, fn: Function) -> bool:
         """Count a lost answer; returns whether the scorer is now ejected for the function's class."""
-        record = scorer.loss_records.setdefault(fn.kind, LossRecord())
+        record = scorer.loss_records.setdefault(fn.class_name, LossRecord())
         record.losses += 1
         is_ejected = record.losses >= EJECTION_LOSSES
         record.ejected_until_ms = max(record.ejected_until_ms, self.now + record.ejection_ms * is_ejected)
@@ -185,11 +187,12 @@
 
     def _is_ejected(self, scorer: Scorer, fn: Function) -> bool:
         """Whether a scorer is ejected for a function's class; none is if most ready scorers would be."""
-        record = scorer.loss_records.get(fn.kind)
+        record = scorer.loss_records.get(fn.class_name)
         if not record or record.losses < EJECTION_LOSSES or self.now >= record.ejected_until_ms:
             return False
         ejected = sum(
-            fn.kind in other.loss_records and other.loss_records[fn.kind].ejected_until_ms > self.now
+            fn.class_name in other.loss_records
+            and other.loss_records[fn.class_name].ejected_until_ms > self.now
             for other in self.ready
         )
         return ejected * 2 <= len(self.ready)
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -40,7 +40,9 @@
         # With many front ends, others may load a copy in the meantime.
         is_early = self.many_front_ends and waited_ms < self._run_time_ms(fn)
         may_wait = (
-            is_early or len(self.recent_attempts) >= self.limit or not self._update_speculation(fn, waited_ms)
+            is_early
+            or len(self.recent_attempts) >= self.attempt_limit
+            or not self._update_speculation(fn, waited_ms)
         )
         if self._awaits_probe(fn) or (is_warm and may_wait):
             return
@@ -102,13 +104,15 @@
         """Record the answer to a load order sent at `ordered_ms`, and adapt the limit on loads."""
         is_good = event.result is io.AttemptResult.GOOD
         took_ms = self.now - ordered_ms
-        is_timely = took_ms < SLOW_LOAD_FACTOR * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
+        is_timely = (
+            took_ms < SLOW_LOAD_FACTOR * (fn.reported_load_time_ms or self._load_time_ms(fn)) and is_good
+        )
         scorer_copies.order_ms = None
         self.loading -= 1
         if is_good:
-            fn.loads.timed.append((self.now, took_ms))
+            fn.load_times.timed_values.append((self.now, took_ms))
         else:
-            scorer_copies.blocked_ms = self.now + BLOCK_MS
+            scorer_copies.blocked_until_ms = self.now + BLOCK_MS
         if event.result in (io.AttemptResult.GOOD, io.AttemptResult.ERROR):
             # Slow and failed loads lower the limit, to protect the store.
             change = 1 / self.loads_limit if is_timely else -0.2 * self.loads_limit
@@ -120,7 +124,7 @@
         Ti is the idle time of the last speculative copy, Te the run time, Td the wait in the queue and Tp the
         load time of the function (see the CIDRE paper).
         """
-        if fn.load_path:
+        if fn.speculates:
             unused = [
                 self.now - scorer_copies.idle_since_ms
                 for scorer_copies in fn.copies_by_scorer.values()
@@ -128,17 +132,18 @@
             ]
             # With many front ends, others use the copy too.
             is_switched = (
-                max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.many_front_ends
+                max([fn.speculative_idle_ms, *unused])
+                > self._run_time_ms(fn) * self.front_ends**self.many_front_ends
             )
         else:
-            is_switched = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
+            is_switched = max(waited_ms, fn.queue_waits.median(self.now) or 0.0) > self._load_time_ms(fn)
         if is_switched:
-            fn.load_path = not fn.load_path
-            fn.idle_ms = 0.0
-            fn.waits = Samples()
+            fn.speculates = not fn.speculates
+            fn.speculative_idle_ms = 0.0
+            fn.queue_waits = Samples()
             for scorer_copies in fn.copies_by_scorer.values():
                 scorer_copies.idle_since_ms = None
-        return fn.load_path
+        return fn.speculates
 
     def _may_load(self) -> bool:
         """Whether a load may be ordered now, at any scorer."""
@@ -148,14 +153,15 @@
     def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
         """Whether a load may be ordered at a scorer; if a copy is warm, only if it has capacity for calls."""
         scorer_copies = fn.copies_by_scorer.get(scorer.id)
-        if scorer_copies is not None and self.now < scorer_copies.blocked_ms:
+        if scorer_copies is not None and self.now < scorer_copies.blocked_until_ms:
             return False
         if not self._is_usable(scorer, fn) or self._is_loading(fn, scorer):
             return False
         if self._copies(fn, scorer) >= MAX_COPIES:
             return False
         return not (
-            is_warm and (scorer.in_flight >= scorer.limit or not self._within_slow_start_limit(scorer))
+            is_warm
+            and (scorer.in_flight >= scorer.in_flight_limit or not self._within_slow_start_limit(scorer))
         )
 
     def _is_loading(self, fn: Function, scorer: Scorer) -> bool:
@@ -195,7 +201,7 @@
                 if self._copies(fn, self.scorers[number])
             ]
             refreshed_until_ms = (
-                max(fn.last_ms, default=-math.inf) + REFRESH_LIFETIMES * self.settings.idle_life_ms
+                max(fn.last_arrivals_ms, default=-math.inf) + REFRESH_LIFETIMES * self.settings.idle_life_ms
             )
             # Half of the load rate limit is reserved for loads.
             if seen and refreshed_until_ms > self.now and self._load_rate_left() > len(self.load_orders_ms):
@@ -221,20 +227,20 @@
         waiting = sum(len(fn.queue) for fn in self.functions.values())
         if scorer and event.copies > 0 and self._may_load() and self._load_rate_left() >= waiting + 1:
             fn = self._function(event)
-            fn.needed_ms = self.now
+            fn.last_needed_ms = self.now
             self._ensure_copies(fn, scorer, event.copies)
 
     def _probe(self, fn: Function, scorer: Scorer, copies: int = 0) -> None:
         """Probe a scorer for its number of copies; with `copies` above 0, that many are refreshed as well."""
         scorer_copies = self._copies_at(fn, scorer)
         scorer_copies.open_probes += 1
-        scorer_copies.probed_ms = self.now
-        fn.probed_ms = self.now
+        scorer_copies.probe_sent_ms = self.now
+        fn.last_probe_ms = self.now
         self._expect_answer(scorer)
         within_ms = self._lease_left_ms(scorer) if copies else math.inf
         self.actions.append(io.OrderCopies(scorer.id, fn.name, copies, within_ms))
 
     def _awaits_probe(self, fn: Function) -> bool:
         """Whether a probe was sent in the last `PROBE_WAIT_MS` and some probe is unanswered."""
-        is_recent = self.now - fn.probed_ms < PROBE_WAIT_MS
+        is_recent = self.now - fn.last_probe_ms < PROBE_WAIT_MS
         return is_recent and any(scorer_copies.open_probes for scorer_copies in fn.copies_by_scorer.values())
--- a/fawnwharf/policy/roster_lease.py
+++ b/fawnwharf/policy/roster_lease.py
@@ -58,7 +58,7 @@
 
     def _lease_left_ms(self, scorer: Scorer) -> float:
         """Milliseconds during which sending new work to a scorer may still begin; 0 or less: it may not."""
-        confirmed_ms = max(self.roster_proved_ms, scorer.confirmed_ms)
+        confirmed_ms = max(self.roster_confirmed_ms, scorer.confirmed_ms)
         if confirmed_ms <= scorer.rejected_ms or scorer.confirmed_ms < scorer.query_rejected_ms:
             return 0.0
         return confirmed_ms + self.settings.roster_lease_ms - self.now
@@ -75,7 +75,7 @@
     def _is_roster_confirmed(self) -> bool:
         """Whether the change log confirmed the roster within `UNCONFIRMED_MS`."""
         is_unlimited = math.isinf(self.settings.roster_lease_ms)
-        return is_unlimited or self.now - self.roster_proved_ms < UNCONFIRMED_MS
+        return is_unlimited or self.now - self.roster_confirmed_ms < UNCONFIRMED_MS
 
     def _can_query(self) -> bool:
         """Whether leases expire at all and queries may be sent."""
@@ -92,8 +92,8 @@
 
     def _on_roster_confirmed(self, event: io.RosterConfirmed) -> None:
         """Renew all leases as of the time for which the change log confirms the roster."""
-        had_expired = self.now >= self.roster_proved_ms + self.settings.roster_lease_ms
-        self.roster_proved_ms = max(self.roster_proved_ms, self.now - event.age_ms)
+        had_expired = self.now >= self.roster_confirmed_ms + self.settings.roster_lease_ms
+        self.roster_confirmed_ms = max(self.roster_confirmed_ms, self.now - event.age_ms)
         if had_expired:
             self._dispatch_all()
 
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -4,7 +4,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import admission, health, loads, roster_lease, routing, state
-from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mark, mix_bits
+from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mix_bits, name_hash
 
 SWEEP_TOKEN = 0  # token of the timer of the periodic sweep
 REQUEST_END_TOKEN = 1  # token of a timer for the final answer of one request
@@ -33,9 +33,9 @@
         events are handled in order.
         """
         self.now = now_ms
-        self.began_ms = min(self.began_ms, now_ms)
+        self.first_event_ms = min(self.first_event_ms, now_ms)
         self.actions = []
-        while self.arrivals_ms and self.arrivals_ms[0] <= now_ms - self.stretch_ms:
+        while self.arrivals_ms and self.arrivals_ms[0] <= now_ms - self.arrival_window_ms:
             self.arrivals_ms.popleft()
         cancelled = {event.request for event in events if isinstance(event, io.RequestCancelled)}
         if cancelled:
@@ -66,14 +66,14 @@
         for entry in event.entries:
             scorer = self.scorers.get(entry.scorer)
             if scorer is None:
-                scorer = Scorer(entry.scorer, entry, mark(str(entry.scorer)))
+                scorer = Scorer(entry.scorer, entry, name_hash(str(entry.scorer)))
                 self.scorers[entry.scorer] = scorer
             scorer.entry = entry
             scorer.gone_ms = None
             if entry.up_since_ms is not None and entry.up_since_ms > scorer.started_ms:
                 self._begin_slow_start(scorer, entry.up_since_ms, since_ms=entry.up_since_ms)
         self.ready = [scorer for scorer in self.scorers.values() if scorer.takes_new()]
-        self.suspects = sum(scorer.suspect_ms is not None for scorer in self.ready)
+        self.suspect_count = sum(scorer.suspect_since_ms is not None for scorer in self.ready)
         self._refresh()
         self._dispatch_all()
 
@@ -104,8 +104,8 @@
         """Create a request, with the times that its class implies; takes a token of the tenant's quota."""
         fn = self._function(event)
         spec = self.classes.get(event.class_name) or io.ClassSpec(event.class_name)
-        if event.site != fn.site:
-            fn.site = event.site
+        if event.site != fn.session_zone:
+            fn.session_zone = event.site
             fn.hash_order_sizes = None
         random_bits = mix_bits(mix_bits(self.seed))
         self.seed += 1
@@ -217,27 +217,27 @@
         elif result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
             scorer_copies.copies = 0
             scorer_copies.seen_ms = self.now
-        elif result is io.AttemptResult.ERROR and fn.runs.timed:
+        elif result is io.AttemptResult.ERROR and fn.run_times.timed_values:
             # If the function has no recorded run, the call itself may be the cause of the error.
             self._record_loss(scorer, fn)
         elif result is io.AttemptResult.FULL:
             self._note_rejection(scorer, attempt.sent_ms)
-            scorer_copies.blocked_ms = self.now + run_ms
+            scorer_copies.blocked_until_ms = self.now + run_ms
             self._record_slowdown(scorer, 3 * health.OUTLIER_SLOWDOWN)
 
     def _record_answer(self, event: io.AttemptEnded, attempt: Attempt, scorer: Scorer, run_ms: float) -> None:
         """Record the run time of a good answer, and reduce the losses of its scorer."""
         fn = attempt.function
-        if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
-            fn.runs.timed.append((self.now, event.took_ms))
-            self.runs.timed.append((self.now, event.took_ms))
+        if event.warmth in (io.Warmth.NOT_REPORTED, io.Warmth.FOUND):
+            fn.run_times.timed_values.append((self.now, event.took_ms))
+            self.run_times.timed_values.append((self.now, event.took_ms))
             self.run_ms += RUN_GAIN * (event.took_ms - self.run_ms) * attempt.is_uncrowded
             self._record_slowdown(scorer, event.took_ms / run_ms)
-        record = scorer.loss_records.get(fn.kind)
+        record = scorer.loss_records.get(fn.class_name)
         if record is not None:
             record.losses = record.losses - 1 if attempt.lost else record.losses * health.LOSS_RETENTION
             if record.losses < 1:
-                del scorer.loss_records[fn.kind]
+                del scorer.loss_records[fn.class_name]
 
     def _on_load_order_answered(self, event: io.LoadOrderAnswered) -> None:
         """Handle the end of a load order or a probe."""
@@ -251,7 +251,7 @@
         ordered_ms = None if scorer_copies.open_probes and is_short else scorer_copies.order_ms
         is_renewed = self._update_lease(event, scorer, is_query=ordered_ms is None)
         if event.result in REPORTS_COPIES:
-            if scorer.suspect_ms is not None and scorer_copies.copies and not event.copies:
+            if scorer.suspect_since_ms is not None and scorer_copies.copies and not event.copies:
                 # The copies are gone: the scorer restarted, which was not reported.
                 self._begin_slow_start(scorer, self.now, since_ms=-math.inf)
             # After the answer to a probe the scorer is trusted for longer than after that to a call.
@@ -302,7 +302,7 @@
             self._watch_scorer(scorer)
         if self.now - self.refreshed_ms >= state.REFRESH_MS:
             self._refresh()
-        if len(self.recent_attempts) < self.limit:
+        if len(self.recent_attempts) < self.attempt_limit:
             self._dispatch_all()
 
     def _sweep_requests(self) -> None:
@@ -350,7 +350,7 @@
             function=fn,
             sent_ms=self.now,
             is_uncrowded=scorer.in_flight < 2,
-            warm_candidates=max(1, sum(one.id in fn.copies_by_scorer for one in fn.order[: fn.spread])),
+            warm_candidates=max(1, sum(one.id in fn.copies_by_scorer for one in fn.hash_order[: fn.spread])),
             zone=scorer.entry.zone,
             cell=scorer.entry.cell,
         )
@@ -359,7 +359,7 @@
         request.attempts.append(attempt)
         fn.queue.remove(request)
         if self.now > request.queued_ms:
-            fn.waits.timed.append((self.now, self.now - request.queued_ms))
+            fn.queue_waits.timed_values.append((self.now, self.now - request.queued_ms))
         scorer_copies.in_flight += 1
         scorer.in_flight += 1
         scorer_copies.seen_ms = self.now
@@ -371,13 +371,13 @@
             and scorer_copies.in_flight > scorer_copies.lanes_without_it
         ):
             # First use of a speculative copy.
-            fn.idle_ms = self.now - scorer_copies.idle_since_ms
+            fn.speculative_idle_ms = self.now - scorer_copies.idle_since_ms
             scorer_copies.idle_since_ms = None
         self.actions.append(io.Send(request.id, scorer.id, within_ms))
 
     def _record_trial(self, fn: Function, scorer: Scorer) -> None:
         """Record a send that tries a scorer after its ejection; the next ejection lasts twice as long."""
-        record = scorer.loss_records.get(fn.kind)
+        record = scorer.loss_records.get(fn.class_name)
         if record is not None and record.losses >= health.EJECTION_LOSSES:
             record.ejection_ms = min(state.MAX_EJECTION_MS, 2 * record.ejection_ms)
             record.ejected_until_ms = self.now + record.ejection_ms
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -23,27 +23,31 @@
 
     def _ordered(self, fn: Function) -> list[Scorer]:
         """The ready scorers by weighted rendezvous hashing; those of the function's site come first."""
-        if fn.hash_order_sizes is not self.members:
+        if fn.hash_order_sizes is not self.scorer_sizes:
             drawn = {
                 scorer: math.log((mix_bits(fn.hash_bits ^ scorer.hash_bits) + 1) / (2**64 + 1))
                 for scorer in self.ready
             }
-            fn.order = sorted(drawn, key=lambda scorer: (-drawn[scorer] / self.members[scorer.id], scorer.id))
-            fn.order.sort(key=lambda scorer: fn.site != "" and self._is_in_other_zone(scorer, fn))
-            fn.hash_order_sizes = self.members
-            fn.known = None
-            self._apply_remote_load(fn, fn.order)
-        return fn.order
+            fn.hash_order = sorted(
+                drawn, key=lambda scorer: (-drawn[scorer] / self.scorer_sizes[scorer.id], scorer.id)
+            )
+            fn.hash_order.sort(
+                key=lambda scorer: fn.session_zone != "" and self._is_in_other_zone(scorer, fn)
+            )
+            fn.hash_order_sizes = self.scorer_sizes
+            fn.known_scorers = None
+            self._apply_remote_load(fn, fn.hash_order)
+        return fn.hash_order
 
     def _known_scorers(self, fn: Function) -> list[Scorer]:
         """The scorers with an entry for a function in hash order, those of the near zone first."""
         order = self._ordered(fn)
-        if fn.known is None:
-            fn.known = sorted(
+        if fn.known_scorers is None:
+            fn.known_scorers = sorted(
                 (scorer for scorer in order if scorer.id in fn.copies_by_scorer),
                 key=lambda scorer: self._is_in_other_zone(scorer, fn),
             )
-        return fn.known
+        return fn.known_scorers
 
     def _candidates(self, fn: Function, request: Request) -> list[Scorer]:
         """The scorers that may have a copy, in the order in which they are tried for a request.
@@ -75,7 +79,7 @@
         if not self.settings.load_orders_allowed or calls_find_out:
             scorer_copies.copies = 1
             scorer_copies.seen_ms = self.now
-        elif self.now - scorer_copies.probed_ms > state.ARRIVAL_WINDOW_MS:
+        elif self.now - scorer_copies.probe_sent_ms > state.ARRIVAL_WINDOW_MS:
             self._probe(fn, scorer)
 
     def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]:
@@ -85,7 +89,7 @@
         depends on the request's random bits alone.
         """
         preferred = (scorer for scorer in self._ordered(fn) if self._is_preferred(scorer, fn))
-        order = list(islice(preferred, fn.spread)) or fn.order[: fn.spread]
+        order = list(islice(preferred, fn.spread)) or fn.hash_order[: fn.spread]
         starts = [
             random_bits % len(order)
             for random_bits in (request.random_bits, request.random_bits >> 32)
@@ -100,22 +104,22 @@
         The demand is estimated from this front end's arrivals times the number of front ends, and from the
         reported concurrency. This keeps the first scorers of the hash order from overload.
         """
-        decay = math.exp((max(fn.last_ms, default=self.now) - self.now) / state.DECAY_MS)
-        fn.arrived *= decay
+        decay = math.exp((max(fn.last_arrivals_ms, default=self.now) - self.now) / state.DECAY_MS)
+        fn.decaying_arrivals *= decay
         fn.reported_concurrency *= decay
-        rate = self._without_random_excess(fn.arrived) / min(
-            state.DECAY_MS, self.now - self.began_ms + REFRESH_MS
+        rate = self._without_random_excess(fn.decaying_arrivals) / min(
+            state.DECAY_MS, self.now - self.first_event_ms + REFRESH_MS
         )
-        if len(fn.last_ms) == state.BURST_ARRIVALS:
-            burst_ms = max(self.now - fn.last_ms[0], REFRESH_MS)
+        if len(fn.last_arrivals_ms) == state.BURST_ARRIVALS:
+            burst_ms = max(self.now - fn.last_arrivals_ms[0], REFRESH_MS)
             rate = max(rate, self._without_random_excess(state.BURST_ARRIVALS) / burst_ms)
         demand = max(rate * self.front_ends * self._run_time_ms(fn), fn.reported_concurrency)
         # The mean limit is 0 if no scorer is ready.
         share = min(SPREAD_LANE_SHARE * fn.lanes, SPREAD_CAPACITY_SHARE * self.mean_concurrency_limit or 1.0)
         fn.spread = min(max(1, math.ceil(demand / share)), max(1, len(self.ready)))
-        fn.arrived += 1
-        fn.needed_ms = self.now
-        fn.last_ms.append(self.now)
+        fn.decaying_arrivals += 1
+        fn.last_needed_ms = self.now
+        fn.last_arrivals_ms.append(self.now)
 
     def _without_random_excess(self, arrivals: float) -> float:
         """Arrivals, less one standard deviation where many front ends would multiply a random excess."""
@@ -138,7 +142,7 @@
         if is_in_flight or request.over_quota or self._is_late(request):
             part = LOW_PRIORITY_PART
         candidates = self._candidates(fn, request)
-        if len(self.recent_attempts) >= self.limit * (1.0 if is_in_flight else part):
+        if len(self.recent_attempts) >= self.attempt_limit * (1.0 if is_in_flight else part):
             return None
         if self.many_front_ends and self._awaits_probe(fn):
             return None  # wait for the probe of the scorer that was chosen at random
@@ -159,7 +163,9 @@
                 if scorer.in_flight < self._in_flight_bound(scorer, fn):
                     return scorer
                 beyond_bound.append(scorer)
-            is_fresh = scorer_copies.open_probes and self.now - scorer_copies.probed_ms < state.PROBE_WAIT_MS
+            is_fresh = (
+                scorer_copies.open_probes and self.now - scorer_copies.probe_sent_ms < state.PROBE_WAIT_MS
+            )
             is_probing = is_probing or bool(is_fresh and self._copies(fn, scorer))
         return min(beyond_bound, key=lambda scorer: scorer.in_flight, default=None)
 
@@ -169,7 +175,7 @@
         A copy that was not seen for `COPY_STALE_MS` is probed first, at the cost of one round trip.
         """
         if (
-            self.now < scorer_copies.blocked_ms
+            self.now < scorer_copies.blocked_until_ms
             or self._copies(fn, scorer) * fn.lanes <= scorer_copies.in_flight
         ):
             return False
@@ -181,7 +187,7 @@
             or self.many_front_ends
         )
         # A rejected probe is not repeated at once, as each may cost a connection.
-        is_due = not scorer_copies.open_probes and self.now - scorer_copies.probed_ms >= PROBE_PAUSE_MS
+        is_due = not scorer_copies.open_probes and self.now - scorer_copies.probe_sent_ms >= PROBE_PAUSE_MS
         may_probe = not is_sure and self.settings.load_orders_allowed and is_due
         if may_probe and self._is_usable(scorer, fn):
             self._probe(fn, scorer)
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -111,7 +111,7 @@
             return True
         self._prune(scorer.slow_start_sends)
         factor = self.settings.slow_start_multiple * share * window_ms
-        if self.now < self.began_ms + window_ms + TRANSIT_MARGIN_MS:
+        if self.now < self.first_event_ms + window_ms + TRANSIT_MARGIN_MS:
             limit: float = self._spare_sends(self._allowed_sends(scorer, factor))
         else:
             limit = self._drawn_limit(scorer, factor, window_ms)
@@ -128,7 +128,7 @@
         # Only a share of what others left unused may be taken, as all front ends see it at the same time.
         left = min(left, own + (left - own) / self.front_ends)
         # With a random fraction, a share below one lets the right number of front ends send a request.
-        return left + mix_bits(mix_bits(self.chance ^ scorer.hash_bits)) / 2**64
+        return left + mix_bits(mix_bits(self.draw_seed ^ scorer.hash_bits)) / 2**64
 
     def _allowed_sends(self, scorer: Scorer, factor: float) -> float:
         """This front end's estimate of N: the scorer's rate at full capacity times `factor`."""
@@ -159,7 +159,7 @@
 
     def _warm_rate(self, scorer: Scorer) -> float:
         """This front end's share of a scorer's full capacity, in requests per millisecond."""
-        arrivals = ARRIVAL_SAFETY * len(self.arrivals_ms) / self.stretch_ms / max(1, len(self.ready))
+        arrivals = ARRIVAL_SAFETY * len(self.arrivals_ms) / self.arrival_window_ms / max(1, len(self.ready))
         answered = self._answer_rate()
         if self.total_quota_per_ms > 0:
             own_quota = self.total_quota_per_ms / self.front_ends
@@ -168,7 +168,7 @@
         if answered > 0:
             # The answers came from at most the largest fleet of ready scorers in that time.
             largest = max(ready_size for _, ready_size in self.ready_size_history)
-            return min(arrivals, answered * self.members.get(scorer.id, 1.0) / largest)
+            return min(arrivals, answered * self.scorer_sizes.get(scorer.id, 1.0) / largest)
         return arrivals
 
     def _answer_rate(self) -> float:
@@ -177,16 +177,16 @@
         A few answers are divided by the whole sample window. Otherwise the rates of many front ends with few
         answers each would add up to more than the scorers answer.
         """
-        timed = self.runs.timed
+        timed = self.run_times.timed_values
         while timed and timed[0][0] < self.now - SAMPLE_WINDOW_MS:
             timed.popleft()
         if len(timed) == timed.maxlen:
             return (len(timed) - 1) / max(BURST_MS, self.now - timed[0][0])
-        return len(timed) / max(REFRESH_MS, min(SAMPLE_WINDOW_MS, self.now - self.began_ms))
+        return len(timed) / max(REFRESH_MS, min(SAMPLE_WINDOW_MS, self.now - self.first_event_ms))
 
     def _size_share(self, scorer: Scorer) -> float:
         """The scorer's share of the largest set of scorers listed so far, for which the quotas were set."""
-        return self.members.get(scorer.id, 1.0) / self.largest_listed_size
+        return self.scorer_sizes.get(scorer.id, 1.0) / self.largest_listed_size
 
     def _record_ready_size(self) -> None:
         """Record the size of all ready scorers, for as long as run time samples are kept."""
@@ -224,4 +224,4 @@
 
     def _size(self, scorer: Scorer) -> float:
         """A ready scorer's size; in slow start it is reduced to the capacity at the time."""
-        return self.members[scorer.id] * self._warmth(scorer)
+        return self.scorer_sizes[scorer.id] * self._warmth(scorer)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -47,7 +47,7 @@
     return bits ^ (bits >> 31)
 
 
-def mark(name: str) -> int:
+def name_hash(name: str) -> int:
     """A 64-bit hash of a name that is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
@@ -56,16 +56,16 @@
     """Timed values of the last `SAMPLE_WINDOW_MS`; their median is cached for `SWEEP_MS`."""
 
     def __init__(self) -> None:
-        self.timed = deque[tuple[float, float]](maxlen=MAX_SAMPLES)
+        self.timed_values = deque[tuple[float, float]](maxlen=MAX_SAMPLES)
         self.computed_ms = -math.inf
         self.cached_median: float | None = None
 
     def median(self, now_ms: float) -> float | None:
         """The median; None if there are no values."""
         if now_ms - self.computed_ms >= SWEEP_MS:
-            while self.timed and self.timed[0][0] < now_ms - SAMPLE_WINDOW_MS:
-                self.timed.popleft()
-            values = sorted(value for _, value in self.timed)
+            while self.timed_values and self.timed_values[0][0] < now_ms - SAMPLE_WINDOW_MS:
+                self.timed_values.popleft()
+            values = sorted(value for _, value in self.timed_values)
             self.cached_median = values[len(values) // 2] if values else None
             self.computed_ms = now_ms
         return self.cached_median
@@ -83,9 +83,10 @@
     awaiting_since_ms: float | None = None  # start of the wait for an answer; None: none is expected
     slowdown: float = 1.0  # ratio of its run times to the functions' usual run times; decays to 1
     slowdown_ms: float = -math.inf  # when `slowdown` was last updated
-    probed_ms: float | None = None  # when the probe that is still unanswered was sent
-    suspect_ms: float | None = None  # when it became suspect; None: it is not
-    limit: float = math.inf  # on the requests of this front end in flight there, as of the last refresh
+    probe_sent_ms: float | None = None  # when the probe that is still unanswered was sent
+    suspect_since_ms: float | None = None  # when it became suspect; None: it is not
+    # on the requests of this front end in flight there, as of the last refresh
+    in_flight_limit: float = math.inf
     slow_start_sends: deque[float] = field(default_factory=deque)  # times of sends that its slow start counts
     recent_sends: deque[float] = field(default_factory=deque)  # times of sends in the last slow start window
     last_function: "Function | None" = None  # the function last used there
@@ -125,11 +126,11 @@
     counted_ms: float = -math.inf  # when an answer last reported their number
     in_flight: int = 0  # attempts of this front end
     open_probes: int = 0  # unanswered probes
-    probed_ms: float = -math.inf  # when the last probe was sent
+    probe_sent_ms: float = -math.inf  # when the last probe was sent
     order_ms: float | None = None  # when the load order in progress was sent; None: there is none
     order_count: int = 0  # number of copies that this order asks for
     speculative: bool = False  # whether this order was sent while a warm copy existed
-    blocked_ms: float = -math.inf  # no calls or loads of the function there before this time
+    blocked_until_ms: float = -math.inf  # no calls or loads of the function there before this time
     idle_since_ms: float | None = None  # when a speculative copy was loaded that no call has used yet
     lanes_without_it: int = 0  # lanes of the copies loaded before that speculative copy
 
@@ -177,27 +178,28 @@
     """A function, its queue, and what is known of its copies, run times and load times."""
 
     name: str
-    kind: str  # name of the class of its calls
+    class_name: str  # name of the class of its calls
     lanes: int  # calls that one copy runs at once
-    load_told_ms: float | None  # load time given in its first request or prefetch
+    reported_load_time_ms: float | None  # load time given in its first request or prefetch
     hash_bits: int  # 64-bit hash of its name
     queue: list[Request] = field(default_factory=list)
     copies_by_scorer: dict[int, ScorerCopies] = field(default_factory=dict)
-    order: list[Scorer] = field(default_factory=list)  # scorers in hash order
-    hash_order_sizes: dict[int, float] | None = None  # the `RouterState.members` of that order
-    known: list[Scorer] | None = None  # cached: the scorers with an entry in `copies_by_scorer`
-    runs: Samples = field(default_factory=Samples)  # run times; Te of the CIDRE paper
-    loads: Samples = field(default_factory=Samples)  # load times; Tp of the paper
-    waits: Samples = field(default_factory=Samples)  # waits in the queue; Td of the paper
-    idle_ms: float = 0.0  # how long the last speculative copy was idle before its first call; Ti
-    load_path: bool = True  # speculative loads are on
-    probed_ms: float = -math.inf  # when a probe for it was last sent to any scorer
-    arrived: float = 0.0  # count of arrivals at this front end; it decays with `DECAY_MS`
-    last_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))  # last arrival times
+    hash_order: list[Scorer] = field(default_factory=list)  # scorers in hash order
+    hash_order_sizes: dict[int, float] | None = None  # the `RouterState.scorer_sizes` of that order
+    known_scorers: list[Scorer] | None = None  # cached: the scorers with an entry in `copies_by_scorer`
+    run_times: Samples = field(default_factory=Samples)  # run times; Te of the CIDRE paper
+    load_times: Samples = field(default_factory=Samples)  # load times; Tp of the paper
+    queue_waits: Samples = field(default_factory=Samples)  # waits in the queue; Td of the paper
+    speculative_idle_ms: float = 0.0  # how long the last speculative copy was idle before its first call; Ti
+    speculates: bool = True  # speculative loads are on
+    last_probe_ms: float = -math.inf  # when a probe for it was last sent to any scorer
+    decaying_arrivals: float = 0.0  # count of arrivals at this front end; it decays with `DECAY_MS`
+    # last arrival times
+    last_arrivals_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))
     spread: int = 1  # number of scorers, from the start of the hash order, that all front ends' calls need
     reported_concurrency: float = 0.0  # smoothed calls of all front ends in flight, as answers report
-    site: str = ""  # zone that its latest request named; empty: this front end's zone
-    needed_ms: float = -math.inf  # when it was last called or prefetched
+    session_zone: str = ""  # zone that its latest request named; empty: this front end's zone
+    last_needed_ms: float = -math.inf  # when it was last called or prefetched
 
     def is_busy(self) -> bool:
         """Whether a request is queued, or an attempt, a load order or a probe is in progress."""
@@ -263,21 +265,21 @@
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.settings = settings
         self.seed = seed
-        self.chance = seed  # seed of the random draws per scorer, which must not change over time
+        self.draw_seed = seed  # seed of the random draws per scorer, which must not change over time
         self.now = 0.0  # time of the events being handled, in milliseconds
-        self.began_ms = math.inf  # time of the first event
+        self.first_event_ms = math.inf  # time of the first event
         self.actions = list[io.Action]()
         # The roster and what is derived from it.
         self.scorers = dict[int, Scorer]()  # by number
         self.ready = list[Scorer]()  # those that accept new work
         self.watched = dict[int, Scorer]()  # those from which an answer is expected, and suspects
-        self.suspects = 0  # number of ready scorers that are suspect
+        self.suspect_count = 0  # number of ready scorers that are suspect
         # The time up to which every event of the change log is known to have been received.
-        self.roster_proved_ms = 0.0 if math.isinf(settings.roster_lease_ms) else -math.inf
-        self.members = dict[int, float]()  # full sizes of the ready scorers, by number
+        self.roster_confirmed_ms = 0.0 if math.isinf(settings.roster_lease_ms) else -math.inf
+        self.scorer_sizes = dict[int, float]()  # full sizes of the ready scorers, by number
         self.ready_size = 1.0  # size of all ready scorers; those in slow start count in part
         self.ready_size_history = deque[tuple[float, float]](maxlen=MAX_SIZE_SAMPLES)  # time and size
-        self.largest_fleet = 0.01  # the largest sum of `members` so far
+        self.largest_ready_size = 0.01  # the largest sum of `scorer_sizes` so far
         self.largest_listed_size = 0.01  # likewise, with the draining scorers
         # Requests.
         self.classes = settings.classes
@@ -286,7 +288,7 @@
         self.requests = dict[str, Request]()  # open ones, by id
         self.attempts = dict[tuple[str, int], Attempt]()  # in flight, by request id and attempt number
         self.recent_attempts = set[Attempt]()  # in flight for no longer than the latency target
-        self.arrivals_ms = deque[float]()  # arrival times within `stretch_ms`
+        self.arrivals_ms = deque[float]()  # arrival times within `arrival_window_ms`
         self.load_orders_ms = deque[float]()  # times of load orders within the window of the load rate limit
         self.quota_tokens = dict[str, tuple[float, float]]()  # by tenant: tokens, time of the last refill
         self.hedge_tokens = MAX_HEDGE_TOKENS
@@ -296,16 +298,17 @@
         self.many_front_ends = False
         self.total_quota_per_ms = sum(settings.quotas_rps.values()) / 1000  # of all tenants and front ends
         self.safe_mean_cache = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
-        self.limit = math.inf  # on this front end's recent attempts in flight
+        self.attempt_limit = math.inf  # on this front end's recent attempts in flight
         self.mean_concurrency_limit = 0.0  # on all front ends' calls in flight at a scorer, on average
         self.max_slowdown = math.inf  # scorers with a larger slowdown are tried last
         self.silence_limit_ms = SILENCE_LIMIT_MS
         self.latency_target_ms = min(
             (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
         )
-        self.runs = Samples()  # run times of all functions
+        self.run_times = Samples()  # run times of all functions
         self.run_ms = self.latency_target_ms / 5  # smoothed run time at scorers that are not crowded
-        self.stretch_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS  # window in which arrivals are counted
+        # window in which arrivals are counted
+        self.arrival_window_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS
         self.shutdown_deadline_ms = math.inf  # of a graceful shutdown: every request is answered by then
         # The sweep timer and the periodic work.
         self.sweep_timer_set = False
@@ -314,11 +317,11 @@
 
     def _run_time_ms(self, fn: Function) -> float:
         """The median run time of a function; of all functions if it has no samples. Te of the paper."""
-        return fn.runs.median(self.now) or self.runs.median(self.now) or 200.0
+        return fn.run_times.median(self.now) or self.run_times.median(self.now) or 200.0
 
     def _load_time_ms(self, fn: Function) -> float:
         """The median load time of a function; the one its requests give if it has no samples. Tp."""
-        return fn.loads.median(self.now) or fn.load_told_ms or 1000.0
+        return fn.load_times.median(self.now) or fn.reported_load_time_ms or 1000.0
 
     def _copies(self, fn: Function, scorer: Scorer) -> int:
         """A function's copies at a scorer; 0 after a restart or at the end of their idle lifetime."""
@@ -335,12 +338,12 @@
         scorer.last_function = fn
         if scorer.id not in fn.copies_by_scorer:
             fn.copies_by_scorer[scorer.id] = ScorerCopies()
-            fn.known = None
+            fn.known_scorers = None
         return fn.copies_by_scorer[scorer.id]
 
     def _is_in_other_zone(self, scorer: Scorer, fn: Function) -> bool:
         """Whether the scorer is outside the zone that is near for the function; such calls cost more."""
-        return scorer.entry.zone != (fn.site or self.settings.zone)
+        return scorer.entry.zone != (fn.session_zone or self.settings.zone)
 
     def _has_remote_load(self, scorer: Scorer, span_ms: float) -> bool:
         """Whether other front ends reported on a scorer within `span_ms` and since its start."""
@@ -353,7 +356,7 @@
             if len(self.functions) >= MAX_FUNCTIONS:
                 self._drop_unused_state()
             name = event.function
-            fn = Function(name, event.class_name, max(1, event.lanes), event.load_ms, mark(name))
+            fn = Function(name, event.class_name, max(1, event.lanes), event.load_ms, name_hash(name))
             self.functions[name] = fn
         return fn
 
@@ -378,9 +381,9 @@
         past_ms = self.now - FORGET_MS
         last_functions = {scorer.last_function for scorer in self.scorers.values()}
         surplus = MAX_FUNCTIONS // 2 if len(self.functions) >= MAX_FUNCTIONS else 0
-        oldest_first = sorted(self.functions.values(), key=lambda fn: fn.needed_ms)
+        oldest_first = sorted(self.functions.values(), key=lambda fn: fn.last_needed_ms)
         for number, fn in enumerate(oldest_first):
-            is_old = number < surplus or fn.needed_ms < past_ms
+            is_old = number < surplus or fn.last_needed_ms < past_ms
             if is_old and not fn.is_busy() and fn not in last_functions:
                 del self.functions[fn.name]
         for scorer in list(self.scorers.values()):
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
-from fawnwharf.policy.state import Function, Scorer, mark
+from fawnwharf.policy.state import Function, Scorer, name_hash
 from fawnwharf.prefetch.copy_value import FunctionProfile
 from fawnwharf.prefetch.lru_map import LruMap
 from fawnwharf.session_types import Identifier
@@ -88,7 +88,7 @@
         """Return the scorers of a zone in the hash order in which a function's calls look for copies."""
         if row not in self._functions_by_name and len(self._functions_by_name) >= MAX_HASH_ORDERS:
             self._functions_by_name.clear()
-        fn = self._functions_by_name.setdefault(row, Function(row, "", 1, None, mark(row)))
+        fn = self._functions_by_name.setdefault(row, Function(row, "", 1, None, name_hash(row)))
         return [
             w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._resting_until_ms
         ]
@@ -127,7 +127,7 @@
 
     def rate_ps(self) -> float:
         """Return this front end's arrivals per second over the window of the load rate limit."""
-        return 1_000.0 * len(self.arrivals_ms) / max(1.0, self.stretch_ms)
+        return 1_000.0 * len(self.arrivals_ms) / max(1.0, self.arrival_window_ms)
 
 
 MAX_AMOUNT = 1e9
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.policy.state import Function, mark
+from fawnwharf.policy.state import Function, name_hash
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
@@ -168,9 +168,9 @@
         if cached is None:
             while len(self._functions) >= MAX_HASH_ORDERS:
                 del self._functions[next(iter(self._functions))]
-            cached = self._functions[function] = Function(function, "", 1, None, mark(function))
+            cached = self._functions[function] = Function(function, "", 1, None, name_hash(function))
         order = self.front.router._ordered(cached)
-        return [scorer.id for scorer in order if scorer.suspect_ms is None]
+        return [scorer.id for scorer in order if scorer.suspect_since_ms is None]
 
     def _orders_left(self) -> float:
         """How many `PrefetchRequested` orders fit into the load rate limit, after those for waiting calls."""
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -117,7 +117,7 @@
         """Ask a scorer how many copies it has."""
 
         def ended(result: io.AttemptResult, copies: int) -> None:
-            order.ended(order, None, Answer(result, b"", io.Warmth.UNTOLD, 0, copies))
+            order.ended(order, None, Answer(result, b"", io.Warmth.NOT_REPORTED, 0, copies))
 
         self._scorers.order(order.scorer, order.function, 0, ended)
 
--- a/fawnwharf/replication/failure_reports.py
+++ b/fawnwharf/replication/failure_reports.py
@@ -31,7 +31,7 @@
 _FAILURE_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
 _FAILURE_RESULTS_IF_LATE = (AttemptResult.CANCELLED, AttemptResult.GOOD)
 _SUCCESS_RESULTS = (AttemptResult.GOOD, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.MISS)
-_WAITED_FOR_LOAD = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD)
+_WAITED_FOR_LOAD = (Warmth.STARTED_LOAD, Warmth.WAITED_FOR_LOAD)
 
 
 def min_reporters(fleet_size: int) -> int:
@@ -62,7 +62,7 @@
         scorer: int,
         result: AttemptResult,
         took_ms: float,
-        warmth: Warmth = Warmth.UNTOLD,
+        warmth: Warmth = Warmth.NOT_REPORTED,
     ) -> None:
         """Record how an attempt or a load order ended.
 
--- a/fawnwharf/sessions/places.py
+++ b/fawnwharf/sessions/places.py
@@ -1,7 +1,7 @@
 """Where the decision module sends a function's calls: read, never changed."""
 
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy.state import Function, mark
+from fawnwharf.policy.state import Function, name_hash
 
 ORDERS_MOST = 4_096
 
@@ -19,9 +19,9 @@
         if fn is None:
             while len(self._orders) >= ORDERS_MOST:
                 del self._orders[next(iter(self._orders))]
-            fn = self._orders[row] = Function(row, "", 1, None, mark(row))
+            fn = self._orders[row] = Function(row, "", 1, None, name_hash(row))
         order = self._router._ordered(fn)
-        return [one.id for one in order if one.entry.zone == self.site and one.suspect_ms is None]
+        return [one.id for one in order if one.entry.zone == self.site and one.suspect_since_ms is None]
 
     def uses(self, row: str, site: str) -> bool:
         """Whether calls from here are at a zone's scorers now, as placements do not bind the module."""
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -29,7 +29,7 @@
 WISH_GONE_MS = 600_000.0  # and those of a member that is not heard: its process may only be replaced
 FILES_MS = 500.0
 LINE_S = 1.0  # one note a second of each kind
-WARM = {io.Warmth.FOUND: True, io.Warmth.BEGAN_LOAD: False, io.Warmth.WAITED_FOR_LOAD: False}
+WARM = {io.Warmth.FOUND: True, io.Warmth.STARTED_LOAD: False, io.Warmth.WAITED_FOR_LOAD: False}
 
 Write = Callable[[str, dict[str, Any]], None]
 
@@ -207,7 +207,7 @@
             return
         if event.result is io.AttemptResult.GOOD:
             row = call.session.row
-            if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
+            if event.warmth in (io.Warmth.FOUND, io.Warmth.NOT_REPORTED):
                 self.agent.known.ran(row, event.took_ms)
             worker = self.front.router.scorers.get(event.scorer)
             if worker is not None and worker.entry.zone == self.site:
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -198,9 +198,9 @@
         self.called(now_ms, session, site)
         if event.result is io.AttemptResult.GOOD:
             self.copies.used(now_ms, session.row, site, event.scorer)
-            if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
+            if event.warmth in (io.Warmth.NOT_REPORTED, io.Warmth.FOUND):
                 self.functions.ran(session.row, event.took_ms)
-            elif event.warmth is io.Warmth.BEGAN_LOAD and (facts := self.functions.facts(session.row)):
+            elif event.warmth is io.Warmth.STARTED_LOAD and (facts := self.functions.facts(session.row)):
                 self.functions.loaded(session.row, max(1.0, event.took_ms - facts.run_ms))
 
     def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -168,7 +168,7 @@
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda client=client: client.answers, "the answer arrives")
                 routed = rig.front.router.scorers[scorer_number(scorer.id)]
-                self.assertEqual((client.kinds(), routed.suspect_ms), ({1: "answer"}, None))
+                self.assertEqual((client.kinds(), routed.suspect_since_ms), ({1: "answer"}, None))
 
     def test_a_dial_that_fails_after_creating_its_socket_leaks_no_descriptor(self):
         scorer, ended = ScorerPeer(copies=None), []
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -198,7 +198,7 @@
         if start:
             self.until(lambda: self.log.asked(), "the front end has asked the change log")
             self.log.say(1)  # confirms the roster; without it no scorer is proved to be in service
-            self.until(lambda: self.front.router.roster_proved_ms > 0, "the roster is confirmed")
+            self.until(lambda: self.front.router.roster_confirmed_ms > 0, "the roster is confirmed")
 
     def client(self):
         self.clients.append(ClientPeer(self.front.address))
--- a/tests/policy/test_policy_deduplication_windows.py
+++ b/tests/policy/test_policy_deduplication_windows.py
@@ -127,11 +127,11 @@
     if cause == "suspect":
         driver.router._suspect(scorer)
     elif cause == "hedge":
-        driver.router.functions["f"].runs.timed.extend([(driver.now, 10.0)] * 5)
+        driver.router.functions["f"].run_times.timed_values.extend([(driver.now, 10.0)] * 5)
         driver.router._hedge(driver.router.requests["r"], attempt)
         driver.router._dispatch_all()
     else:
-        driver.router.functions["f"].runs.timed.extend([(driver.now, 10.0)] * 5)
+        driver.router.functions["f"].run_times.timed_values.extend([(driver.now, 10.0)] * 5)
         driver.router._record_loss(scorer, attempt.function)
         driver.router._record_loss(scorer, attempt.function)
         driver.router._mark_lost_attempts()
--- a/tests/policy/test_policy_external_events.py
+++ b/tests/policy/test_policy_external_events.py
@@ -38,7 +38,7 @@
     [old] = of(arrived(driver, "old", lanes=4), io.Send)
     assert not driver.feed(io.ClassChanged(replace(SAFE, effect=io.Effect.AT_MOST_ONCE)))
     [new] = of(arrived(driver, "new", lanes=4), io.Send)
-    assert driver.router.functions["f"].runs.timed  # the learned state is kept
+    assert driver.router.functions["f"].run_times.timed_values  # the learned state is kept
     driver.end(new, AttemptResult.ERROR, closed=False)
     driver.end(old, AttemptResult.ERROR, closed=False)
     assert "old" in driver.router.requests  # it arrived as idempotent, so it may be retried or rejected
@@ -194,13 +194,13 @@
     elif case == "slow start":
         driver.now += 1000.0
         driver.feed(io.RosterChanged([io.ScorerEntry(2, up_since_ms=driver.now)], False))
-        driver.router.chance = next(
+        driver.router.draw_seed = next(
             n for n in range(99) if not driver.router._within_slow_start_limit(scorer_with_seed(driver, n))
         )
 
 
 def scorer_with_seed(driver, chance):
-    driver.router.chance = chance
+    driver.router.draw_seed = chance
     driver.router.scorers[2].slow_start_sends.append(driver.now)
     return driver.router.scorers[2]
 
--- a/tests/policy/test_policy_fleet.py
+++ b/tests/policy/test_policy_fleet.py
@@ -138,7 +138,7 @@
 
 def test_attempts_in_flight_past_the_latency_target_do_not_count_towards_the_limit():
     driver = front_end_drivers(100)[0]
-    limit = driver.router.limit
+    limit = driver.router.attempt_limit
     for n in range(12):
         answer_with_copies(driver, driver.ask(f"r{n}", fn=f"f{n}", tenant="t"))
     recent = len(driver.router.recent_attempts)
--- a/tests/policy/test_policy_health.py
+++ b/tests/policy/test_policy_health.py
@@ -32,7 +32,7 @@
         if answered:
             driver.count(warm_scorer, 1)
         driver.sweep(driver.now + 200)
-        assert (driver.router.scorers[warm_scorer].suspect_ms is None) is answered
+        assert (driver.router.scorers[warm_scorer].suspect_since_ms is None) is answered
         assert [send.scorer for send in of(driver.ask("r2"), io.Send)] == [warm_scorer] * answered
 
 
@@ -76,7 +76,7 @@
         warm_scorer = driver.warm(lanes=4, spec="unsafe")
         scorer, fn = driver.router.scorers[warm_scorer], driver.router.functions["f"]
         if not served:
-            fn.runs.timed.clear()
+            fn.run_times.timed_values.clear()
         sends = of(
             driver.ask("r1", spec="unsafe", lanes=4) + driver.ask("r2", spec="unsafe", lanes=4), io.Send
         )
@@ -99,7 +99,7 @@
     driver.ask("r1")
     driver.sweep(driver.now + 1000)
     assert [a for a in of(driver.count(warm_scorer, 1), io.Log) if "again" in a.text]
-    assert driver.router.scorers[warm_scorer].suspect_ms is None
+    assert driver.router.scorers[warm_scorer].suspect_since_ms is None
 
 
 def test_suspects_stay_usable_when_most_scorers_are_suspect():
--- a/tests/policy/test_policy_remote_load.py
+++ b/tests/policy/test_policy_remote_load.py
@@ -31,7 +31,7 @@
         if known:
             driver.feed(io.PrefetchRequested(1, "f", "safe"))
             driver.count(1, 0, ending=AttemptResult.FULL)
-            driver.router.functions["f"].copies_by_scorer[1].blocked_ms = 0.0
+            driver.router.functions["f"].copies_by_scorer[1].blocked_until_ms = 0.0
         report_remote_load(driver, copies={"f": 1, "other": 2}, age_ms=age_ms)
         actions = arrived(driver, "r")
         sends, questions = [send.scorer for send in of(actions, io.Send)], probed_scorers(actions)
@@ -149,7 +149,7 @@
         slow_start_initial_share=0.2,
         slow_start_ms=1e9,
     )
-    driver.router.chance = 5
+    driver.router.draw_seed = 5
     for n in range(calls):
         driver.now += 5_000.0 / calls
         driver.feed(io.RequestCancelled(f"r{n - 1}"))
--- a/tests/policy/test_policy_replay.py
+++ b/tests/policy/test_policy_replay.py
@@ -219,7 +219,7 @@
             self.send(action)
         elif isinstance(action, io.Cancel) and self.draw() < 0.8:
             self.schedule(
-                1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.UNTOLD
+                1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.NOT_REPORTED
             )
 
     def order(self, copy_order):
@@ -279,7 +279,7 @@
                 ],
             )
         elif (send.scorer, fn) not in self.loaded_copies:
-            warmth = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.random_below(3)]
+            warmth = (Warmth.STARTED_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.random_below(3)]
             result = (AttemptResult.MISS, AttemptResult.GOOD)[self.router.settings.loads_on_miss]
             took = 2.0 if result is AttemptResult.MISS else took + 400.0
             self.loaded_copies[send.scorer, fn] = 1
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -199,10 +199,10 @@
 
 def test_removed_scorers_do_not_raise_the_limit_of_the_others():
     driver = Drive(workers=4, quotas_rps={"t": 40.0})
-    before = driver.router.scorers[1].limit
+    before = driver.router.scorers[1].in_flight_limit
     driver.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
     driver.sweep(40)
-    assert driver.router.scorers[1].limit == before < 20
+    assert driver.router.scorers[1].in_flight_limit == before < 20
 
 
 def test_a_limit_rejects_calls_beyond_it_at_once_and_can_be_lifted():
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -256,7 +256,7 @@
     driver = Drive(
         2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200
     )
-    driver.router.began_ms = math.inf
+    driver.router.first_event_ms = math.inf
     driver.now = 5_000.0
     driver.feed(io.TimerDue(0))  # the first event of the router
     for scorer in (1, 2):
--- a/tests/recovery_service/test_recovery_service_load_order_gate.py
+++ b/tests/recovery_service/test_recovery_service_load_order_gate.py
@@ -12,7 +12,7 @@
 from fawnwharf.recovery_service.actions import CopyAvailable
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
 
-ANSWER = Answer(io.AttemptResult.GOOD, b"", io.Warmth.UNTOLD, 0, 1)
+ANSWER = Answer(io.AttemptResult.GOOD, b"", io.Warmth.NOT_REPORTED, 0, 1)
 
 
 class GateHarness:
--- a/tests/replication/test_replication_load_reports.py
+++ b/tests/replication/test_replication_load_reports.py
@@ -12,7 +12,7 @@
 from fawnwharf.replication.load_report_store import MAX_LOCATIONS, LoadReportStore, OwnerReport
 from fawnwharf.replication.remote_loads import RemoteLoads
 
-GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.NOT_REPORTED
 
 
 # --- the reports of an owner --------------------------------------------------------------------
--- a/tests/replication/test_replication_remote_loads.py
+++ b/tests/replication/test_replication_remote_loads.py
@@ -13,7 +13,7 @@
 from fawnwharf.replication.remote_loads import RemoteLoads, covers_fleet
 from fawnwharf.zones.settings import SettingsFileError
 
-GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.NOT_REPORTED
 
 
 def remote_report(number, front_ends=6, sent=None, answer=None, loading=(), copies=()):
--- a/tests/replication/test_replication_usage.py
+++ b/tests/replication/test_replication_usage.py
@@ -90,7 +90,7 @@
 
 
 def test_failures_of_a_scorer_are_reported_until_a_success():
-    untold, load = Warmth.UNTOLD, Warmth.WAITED_FOR_LOAD
+    untold, load = Warmth.NOT_REPORTED, Warmth.WAITED_FOR_LOAD
     table = [  # result, duration in ms, warmth, whether one such result is reported, whether two are
         (AttemptResult.TIMEOUT, 100.0, untold, True, True),
         (AttemptResult.RESET, 5.0, untold, True, True),
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -65,7 +65,7 @@
         drive.sweep(2_500.0)
         [first] = of(drive.ask("first", tenant="t"), io.Send)
         drive.end(first)
-        drive.router.scorers[first.scorer].suspect_ms = drive.now
+        drive.router.scorers[first.scorer].suspect_since_ms = drive.now
         [second] = of(drive.ask("next", tenant="t"), io.Send)
         self.assertNotEqual(first.scorer, second.scorer)
 
@@ -84,7 +84,7 @@
                     scorer.slowdown = slowdown if scorer.entry.zone == "a" else 1.0
                     scorer.slowdown_ms = drive.now
                 drive.router.functions["f"].copies_by_scorer.clear()
-                drive.router.functions["f"].known = None
+                drive.router.functions["f"].known_scorers = None
                 [send] = of(drive.ask("r", tenant="t"), io.Send)
                 other_zone += drive.router.scorers[send.scorer].entry.zone == "b"
             return other_zone
@@ -130,13 +130,13 @@
         for number in (1, 3):
             drive.router._suspect(drive.router.scorers[number])
         self.assertEqual(
-            [], [scorer.id for scorer in drive.router.ready if scorer.probed_ms and scorer.id > 3]
+            [], [scorer.id for scorer in drive.router.ready if scorer.probe_sent_ms and scorer.id > 3]
         )
         drive.router.actions.clear()
         drive.router._suspect(drive.router.scorers[5])
         self.assertEqual([7], [query.scorer for query in of(drive.router.actions, io.OrderCopies)])
         drive.sweep(drive.now + 200.0)
-        suspected = {scorer.id for scorer in drive.router.ready if scorer.suspect_ms is not None}
+        suspected = {scorer.id for scorer in drive.router.ready if scorer.suspect_since_ms is not None}
         self.assertEqual({1, 3, 5, 7}, suspected)
 
     def test_a_scorer_that_answers_the_query_stays(self):
@@ -146,7 +146,7 @@
         [query] = of(drive.router.actions, io.OrderCopies)
         drive.count(query.scorer, 1, query.function)
         drive.sweep(drive.now + 200.0)
-        self.assertIsNone(drive.router.scorers[7].suspect_ms)
+        self.assertIsNone(drive.router.scorers[7].suspect_since_ms)
 
 
 class Spread(unittest.TestCase):
@@ -162,7 +162,7 @@
     def test_the_limit_of_running_calls_exceeds_an_equal_share(self):
         drive = drives(1)[0]
         equal_share = 0.4 * drive.router.latency_target_ms / 2 / FRONT_ENDS  # of the fleet's throughput
-        self.assertGreater(drive.router.limit, equal_share + 1)
+        self.assertGreater(drive.router.attempt_limit, equal_share + 1)
 
 
 class Slowdown(unittest.TestCase):
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -27,7 +27,7 @@
     for n in range(20):
         arrived = io.RequestArrived(f"r{n}", f"f{n}", "view", "club", 3_000.0)
         router.handle(UNIX, [arrived])
-        order = [w.id for w in router.functions[f"f{n}"].order]
+        order = [w.id for w in router.functions[f"f{n}"].hash_order]
         for site in SITES:
             assert one.scorers.order(f"f{n}", site) == [w for w in order if SITES[w % 3] == site]
     first = one.scorers.order("f0", "s")[0]
