--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -57,7 +57,7 @@
         """Writes the response and ends the connection."""
         self._reader.result = response
         self.connection.write(encode_response(response))
-        self.connection.finish(EndReason.RETIRED)
+        self.connection.finish(EndReason.SUPERSEDED)
 
     def on_end(self, _end: EndReason) -> None:
         """Called by Connection when it has ended."""
--- a/fawnwharf/fakes/changelog.py
+++ b/fawnwharf/fakes/changelog.py
@@ -78,7 +78,7 @@
     def begin(self, members: list[dict[str, Any]]) -> dict[str, Any]:
         """A new life of the front end: what its configuration has as `known`."""
         for follower in list(self.followers):
-            follower.connection.close(EndReason.RETIRED)
+            follower.connection.close(EndReason.SUPERSEDED)
         self.events, self.told_ms = [], []
         self.add(members, complete=True)
         return {"seq": 1, "results": list(self.events)}
@@ -119,4 +119,4 @@
         self.loop.unwatch(self._listener)
         self._listener.close()
         for follower in list(self.followers):
-            follower.connection.close(EndReason.RETIRED)
+            follower.connection.close(EndReason.SUPERSEDED)
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -43,7 +43,7 @@
         if not self.closed:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.close(EndReason.RETIRED)
+            self.close(EndReason.SUPERSEDED)
 
 
 class _End:
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -75,7 +75,7 @@
         for frame in self.reader.feed(data):
             self.scorer.take(self, frame)
         if self.reader.fault:
-            self.connection.close(EndReason.BAD_BYTES)
+            self.connection.close(EndReason.PROTOCOL_ERROR)
 
     def on_flushed(self) -> None:
         pass
@@ -152,7 +152,7 @@
         self._listener.close()
         self._listens(self.id, False)
         for link in list(self.links):
-            link.connection.close(EndReason.RETIRED)
+            link.connection.close(EndReason.SUPERSEDED)
 
     def fall(self) -> None:
         self.fallen = True
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -109,7 +109,7 @@
         self._stumbled_at = None
         self._requests_all_events = False
         self._smaller_since_ms = None
-        self._disconnect(EndReason.RETIRED)
+        self._disconnect(EndReason.SUPERSEDED)
         self._backoff_ms = MIN_BACKOFF_MS
         self.connect()
 
@@ -266,7 +266,7 @@
         if not self._requests_all_events and (fresh or self._smaller_numbers > MAX_SMALLER_NUMBERS):
             self._log(f"change log: at event {last}, was at {self.seq}; requesting all events")
             self._requests_all_events = True
-            self._disconnect(EndReason.BAD_BYTES)
+            self._disconnect(EndReason.PROTOCOL_ERROR)
             return False
         return True
 
@@ -277,7 +277,7 @@
     def _follow_renumbered(self, last: int) -> bool:
         """Reconnect to receive the new numbering from its first event, a complete list."""
         self._start_replay(last)
-        self._disconnect(EndReason.BAD_BYTES)
+        self._disconnect(EndReason.PROTOCOL_ERROR)
         return False
 
     def _start_replay(self, last: int) -> None:
@@ -354,7 +354,7 @@
         if earlier and not known and self._replay is None and self._is_renumbered(seq, fleet, match):
             self._start_replay(seq)
             if seq > 1:  # the events before it are needed too
-                self._disconnect(EndReason.BAD_BYTES)
+                self._disconnect(EndReason.PROTOCOL_ERROR)
                 return False
         self._apply(seq, found, earlier)
         return self._advance(seq, follows)
@@ -395,5 +395,5 @@
             return True
         self._log(f"change log: {why}; reconnecting after event {self._position}")
         self._stumbled_at = self._position
-        self._disconnect(EndReason.BAD_BYTES)
+        self._disconnect(EndReason.PROTOCOL_ERROR)
         return False
--- a/fawnwharf/net/client_port.py
+++ b/fawnwharf/net/client_port.py
@@ -166,7 +166,7 @@
                 return
             unused = not client.open and now_ms - client.connection.used_ms > IDLE_TIMEOUT_MS
             if unused and client.connection.waiting_bytes:
-                client.connection.close(EndReason.STUFFED)
+                client.connection.close(EndReason.PEER_NOT_READING)
             elif unused:
                 client.release()
             elif client.is_overdue(now_ms):
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -73,7 +73,7 @@
                 end = self._handle_message(item, withdrawn)
             except Exception:  # an error ends the connection, but each request on it gets its answer
                 self.port.loop.log_exception("reading")
-                end = EndReason.BAD_BYTES
+                end = EndReason.PROTOCOL_ERROR
             if end is not None:
                 self._end_with(items[index:], end)
                 return
@@ -128,7 +128,7 @@
         self.port.log(f"client: {error}", "clients")
         # An exception with the sequence number of an open request would count as that request's answer.
         if error.seqid is None or error.seqid in self.open:
-            return EndReason.BAD_BYTES
+            return EndReason.PROTOCOL_ERROR
         self._write(thrift.application_exception(error.seqid, str(error), error.kind))
         return None
 
@@ -148,7 +148,7 @@
     def on_flushed(self) -> None:
         """Limit the unsent answers after the write of an iteration: the client does not read them."""
         if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
-            self.connection.close(EndReason.STUFFED)
+            self.connection.close(EndReason.PEER_NOT_READING)
             return
         self.port.slow_clients.regulate(self)
         if not self.connection.reads:
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -304,7 +304,7 @@
             self.owner.on_data(data)
         except Exception:  # an error in handling a peer's bytes must end only its connection
             self.loop.log_exception("reading")
-            self.close(EndReason.BAD_BYTES)
+            self.close(EndReason.PROTOCOL_ERROR)
 
     def _read_failed(self, error: OSError) -> None:
         """Pause reading if the system lacks memory, which is transient; otherwise end the connection."""
--- a/fawnwharf/net/connection_owner.py
+++ b/fawnwharf/net/connection_owner.py
@@ -12,7 +12,7 @@
         """The connection that was dialled is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes were received. An exception ends the connection as `EndReason.BAD_BYTES`."""
+        """Bytes were received. An exception ends the connection as `EndReason.PROTOCOL_ERROR`."""
 
     def on_flushed(self) -> None:
         """This iteration's write has been attempted, and the connection is still open."""
--- a/fawnwharf/net/connection_writer.py
+++ b/fawnwharf/net/connection_writer.py
@@ -139,7 +139,7 @@
         self._write_pause = self.loop.timers.after(WRITE_PAUSE_MS, self._resume_writing)
 
     def _on_partial_overdue(self) -> None:
-        self.close(EndReason.LOCAL_FAULT if self._write_pause else EndReason.STUFFED)
+        self.close(EndReason.LOCAL_FAULT if self._write_pause else EndReason.PEER_NOT_READING)
 
     def _resume_writing(self) -> None:
         self._write_pause = None
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -16,14 +16,16 @@
     LOCAL_FAULT = auto()  # a transient error of this machine, which says nothing about the peer
     CLOSED_BY_PEER = auto()
     RESET_BY_PEER = auto()
-    BAD_BYTES = auto()  # the peer violated the protocol
-    STUFFED = auto()  # the peer does not read: too much output is queued, or a frame stays partially written
+    PROTOCOL_ERROR = auto()  # the peer violated the protocol
+    PEER_NOT_READING = (
+        auto()
+    )  # the peer does not read: too much output is queued, or a frame stays partially written
     SILENT = auto()  # nothing was received for too long
     IDLE = auto()  # closed by this side without open streams
-    RETIRED = auto()  # closed by this side, as its scorer has gone or restarted
+    SUPERSEDED = auto()  # closed by this side, as its scorer has gone or restarted
     OUT_OF_SERVICE = auto()  # the scorer drains or has gone, and the stream was not sent yet
     NEVER_SENT = auto()  # it expired or its request ended before it was sent, or the scorer was not available
-    CALLED_OFF = auto()  # cancelled by the router
+    CANCELLED = auto()  # cancelled by the router
     TIMED_OUT = auto()  # no answer before the deadline
     STOPPED = auto()  # this front end is shutting down
 
@@ -44,15 +46,15 @@
     # connection attempt shows whether the scorer is available.
     EndReason.CLOSED_BY_PEER: (_FAILED, _NOT_SENT, _RESET),
     EndReason.RESET_BY_PEER: (_FAILED, _NOT_SENT, _RESET),
-    EndReason.BAD_BYTES: (_FAILED, _FAILED, _RESET),
-    EndReason.STUFFED: (_FAILED, _FAILED, _RESET),
+    EndReason.PROTOCOL_ERROR: (_FAILED, _FAILED, _RESET),
+    EndReason.PEER_NOT_READING: (_FAILED, _FAILED, _RESET),
     EndReason.SILENT: (_FAILED, _FAILED, _RESET),
     EndReason.IDLE: (_NOT_SENT, _RESET, _RESET),
-    EndReason.RETIRED: (_NOT_SENT, _NOT_SENT, _RESET),
+    EndReason.SUPERSEDED: (_NOT_SENT, _NOT_SENT, _RESET),
     # For the reasons below the connection stays open, so the rest of a partial frame may still be sent.
     EndReason.OUT_OF_SERVICE: (_NOT_SENT, _RESET, _RESET),
     EndReason.NEVER_SENT: (_NOT_SENT, _RESET, _RESET),
-    EndReason.CALLED_OFF: (AttemptResult.CANCELLED, AttemptResult.CANCELLED, AttemptResult.CANCELLED),
+    EndReason.CANCELLED: (AttemptResult.CANCELLED, AttemptResult.CANCELLED, AttemptResult.CANCELLED),
     EndReason.TIMED_OUT: (_NOT_SENT, AttemptResult.TIMEOUT, AttemptResult.TIMEOUT),
     EndReason.STOPPED: (_NOT_SENT, _RESET, _RESET),
 }
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -138,7 +138,7 @@
                 self.pool.answered(stream, frame)
         if self._reader.fault:
             self.pool.log(f"scorer {self.scorer.id}: bad frame: {self._reader.fault}")
-            self.connection.close(EndReason.BAD_BYTES)
+            self.connection.close(EndReason.PROTOCOL_ERROR)
         elif self._reader.has_partial_frame and self._stall_timer is None:
             self._stall_timer = self.pool.loop.timers.after(STALL_MS, self._check_stall)
 
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -145,7 +145,7 @@
                 stream.buffer = None
                 unsent.append(stream)
             if link.up and not link.streams:
-                link.connection.close(EndReason.RETIRED)
+                link.connection.close(EndReason.SUPERSEDED)
         return unsent
 
     def _drop_if_empty(self, scorer: Scorer) -> None:
@@ -292,7 +292,7 @@
             link.scorer.redials = 0
             self._start_waiting(link.scorer)
         if link.retired and not link.streams:  # its scorer has gone or restarted during the dial
-            link.connection.close(EndReason.RETIRED)
+            link.connection.close(EndReason.SUPERSEDED)
 
     # --- ends ---------------------------------------------------------------------------------
 
@@ -341,7 +341,7 @@
         """End a stream as cancelled, whether or not it was sent."""
         if not stream.over:
             self._detach(stream)
-            self._end(stream, EndReason.CALLED_OFF)
+            self._end(stream, EndReason.CANCELLED)
 
     def cancel_unsent(self, stream: Stream) -> None:
         """End a stream as never sent, unless some of it has been written."""
@@ -374,7 +374,7 @@
         link, stream.link = stream.link, None
         stream.ended(stream, end, answer)
         if link and link.retired and not link.streams and link.up:
-            link.connection.close(EndReason.RETIRED)
+            link.connection.close(EndReason.SUPERSEDED)
 
     # --- maintenance --------------------------------------------------------------------------
 
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -86,4 +86,6 @@
             ]
             if not slow:
                 return
-            min(slow, key=lambda client: client.connection.used_ms).connection.close(EndReason.STUFFED)
+            min(slow, key=lambda client: client.connection.used_ms).connection.close(
+                EndReason.PEER_NOT_READING
+            )
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -103,7 +103,7 @@
     def _stumble(self, _why: str) -> bool:
         """Close the connection, without the further attempts that the change log makes."""
         if self._connection:
-            self._connection.close(EndReason.BAD_BYTES)
+            self._connection.close(EndReason.PROTOCOL_ERROR)
         return False
 
 
@@ -123,17 +123,17 @@
     def on_data(self, data: bytes) -> None:
         """Read the reader's only request; close the connection on anything else."""
         if self.since is not None:
-            self.connection.close(EndReason.BAD_BYTES)
+            self.connection.close(EndReason.PROTOCOL_ERROR)
             return
         self._received += data
         line, newline, rest = bytes(self._received).partition(b"\n")
         if not newline:
             if len(self._received) > MAX_REQUEST_BYTES:
-                self.connection.close(EndReason.BAD_BYTES)
+                self.connection.close(EndReason.PROTOCOL_ERROR)
             return
         command, _, number = line.partition(b" ")
         if rest or command != b"since" or not number.isdigit() or len(number) > MAX_REQUEST_NUMBER_DIGITS:
-            self.connection.close(EndReason.BAD_BYTES)
+            self.connection.close(EndReason.PROTOCOL_ERROR)
             return
         self.since = int(number)
         self._server.begin(self)
@@ -141,7 +141,7 @@
     def on_flushed(self) -> None:
         """Disconnect a reader that reads too slowly."""
         if self.connection.waiting_bytes > MAX_UNREAD_BYTES:
-            self.connection.close(EndReason.STUFFED)
+            self.connection.close(EndReason.PEER_NOT_READING)
 
     def on_end(self, _end: EndReason) -> None:
         """Forget the reader."""
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -299,7 +299,7 @@
             scorer.answer(scorer.runs[0], body=b"late")
         rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the later attempt")
         rig.settle(rig.client())
-        self.assertEqual((ended, later), ([(EndReason.CALLED_OFF, True)], []))
+        self.assertEqual((ended, later), ([(EndReason.CANCELLED, True)], []))
         self.assertFalse(self.links(rig)[0].connection.closed)
 
     def test_an_answer_to_an_attempt_that_is_not_completely_written_is_ignored(self):
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -195,7 +195,7 @@
         peers[1].answer(peers[1].runs[0])
         rig.until(lambda: ended["s-2"], "the second attempt ends")
         self.assertEqual(
-            ended, {"s-1": [(EndReason.BAD_BYTES, True)], "s-2": [(io.AttemptResult.GOOD, True)]}
+            ended, {"s-1": [(EndReason.PROTOCOL_ERROR, True)], "s-2": [(io.AttemptResult.GOOD, True)]}
         )
 
     def test_a_broken_connection_does_not_affect_calls_on_other_connections(self):
@@ -215,7 +215,7 @@
         for item in (scorer.runs[0], scorer.runs[2]):
             scorer.answer(item)
         rig.until(lambda: len(ended) == 3, "the other attempts are answered")
-        self.assertEqual(ended, [(EndReason.BAD_BYTES, True)] + [(io.AttemptResult.GOOD, True)] * 2)
+        self.assertEqual(ended, [(EndReason.PROTOCOL_ERROR, True)] + [(io.AttemptResult.GOOD, True)] * 2)
 
     def test_a_connection_that_the_scorer_has_just_closed_is_not_used(self):
         scorer, ended = ScorerPeer(), []
@@ -258,7 +258,7 @@
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         scorer.answer(scorer.runs[1], 2, "")
         rig.until(lambda: ended, "the second attempt ends")
-        self.assertEqual((first, ended), ([(EndReason.CALLED_OFF, True)], [(io.AttemptResult.MISS, True)]))
+        self.assertEqual((first, ended), ([(EndReason.CANCELLED, True)], [(io.AttemptResult.MISS, True)]))
 
     def test_attempts_orders_and_dials_without_response_time_out(self):
         scorer, ended = ScorerPeer(copies=None), []
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -142,7 +142,7 @@
         rig.front.scorer_pool.cancel(stream)
         self.clock.advance(RETRY_MS)
         self.turn(rig)
-        self.assertEqual((ended, scorer.links), ([(EndReason.CALLED_OFF, False)], []))
+        self.assertEqual((ended, scorer.links), ([(EndReason.CANCELLED, False)], []))
 
     def test_a_redial_uses_an_address_that_changed_before_it(self):
         rig, scorer, ended, _ = self.send_with_fault("connect", "ENETUNREACH")
--- a/tests/net/test_net_scorer_state_machine.py
+++ b/tests/net/test_net_scorer_state_machine.py
@@ -201,7 +201,7 @@
             if isinstance(stream, Attempt):
                 self.case.assertIn(stream, self.ends, "attempt without an end after its deadline")
             end = self.ends.get(stream)
-            if isinstance(end, EndReason) and end is not EndReason.CALLED_OFF and not self.begun[stream]:
+            if isinstance(end, EndReason) and end is not EndReason.CANCELLED and not self.begun[stream]:
                 self.case.assertIn(attempt_result(end, False), NEVER_WRITTEN)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -90,7 +90,7 @@
         for end in EndReason:
             with self.subTest(end.name):
                 self.assertNotIn(attempt_result(end, begun=True), self.NEVER_RAN)
-                if end is not EndReason.CALLED_OFF:
+                if end is not EndReason.CANCELLED:
                     self.assertIn(attempt_result(end, begun=False), self.NEVER_RAN)
 
     def test_scorer_numbers_are_the_same_everywhere(self):
--- a/tests/zones/test_zones_member_log.py
+++ b/tests/zones/test_zones_member_log.py
@@ -58,7 +58,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.wait_until(lambda: self.received, "the first line is received")
-        feed._connection.close(member_log.EndReason.RETIRED)
+        feed._connection.close(member_log.EndReason.SUPERSEDED)
         server.write({"n": 1})
         server.write({"n": 2})
         self.wait_until(lambda: feed.seq == 3, "the other lines are received")
@@ -69,7 +69,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.wait_until(lambda: self.received, "the first line is received")
-        feed._connection.close(member_log.EndReason.RETIRED)
+        feed._connection.close(member_log.EndReason.SUPERSEDED)
         for n in range(1, member_log.MAX_STORED_LINES + 10):
             server.write({"n": n}, counts_as="n")
         self.wait_until(lambda: feed.seq == member_log.MAX_STORED_LINES + 10, "the last line is received")
