--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -5,7 +5,7 @@
 
 from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import Address
-from fawnwharf.net.connection import Connection, serve_first
+from fawnwharf.net.connection import Connection, first_priority
 from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.listener import listen_when_free
@@ -30,7 +30,7 @@
         self.listener = listener
         self.accepted_ms = monotonic_ms()
         self._reader = RequestReader()
-        self.connection = Connection.accepted(listener.loop, sock, self, MAX_READ_BYTES, order=serve_first)
+        self.connection = Connection.accepted(listener.loop, sock, self, MAX_READ_BYTES, order=first_priority)
 
     @property
     def is_response_written(self) -> bool:
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -366,7 +366,7 @@
             if connection.finishing or connection.closed or count == MAX_HANDOFFS_PER_TICK:
                 continue
             has_open = bool(client.open)
-            has_unwritten = bool(connection.waiting_bytes)
+            has_unwritten = bool(connection.unwritten_bytes)
             if not self.handoff.may_hand_off(has_open_request=has_open, has_unwritten_response=has_unwritten):
                 continue
             handed = port.hand_off(client)
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -61,7 +61,7 @@
         listed = ", ".join(scorer_ids)[:MAX_SCORER_LIST_CHARACTERS]
         self.front.log(f"in maintenance since before this process: {listed}")
         self.commands.scorers_in_maintenance.update(scorer_ids)
-        self.front.apply_fleet(
+        self.front.apply_filtered_roster(
             self.front.roster_overlay.set_filter(ROSTER_FILTER_NAME, self._maintenance_filter())
         )
 
@@ -130,7 +130,7 @@
         changes = overlay.set_filter(ROSTER_FILTER_NAME, self._maintenance_filter())
         if isinstance(effect, ExitMaintenance):
             changes = overlay.mark_restarted([effect.scorer_id], self.front.loop.clock.now_ms())
-        self.front.apply_fleet(changes)
+        self.front.apply_filtered_roster(changes)
         self.hot_restart.write_learned_state()
 
     @property
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -76,7 +76,7 @@
         self._line_counted_bytes = 0  # bytes of that line that were counted as activity
         self._backoff_ms = MIN_BACKOFF_MS
         self._retry: Timer | None = None  # of the next connection attempt
-        self._stumbled_at: int | None = None  # the position at the last failure to follow the log
+        self._failed_position: int | None = None  # the position at the last failure to follow the log
         self._stopped = False
         self._order = EventOrder()
         self._clock_steps = ClockStepCorrection()
@@ -106,7 +106,7 @@
         if address == self._address:
             return
         self._address = address
-        self._stumbled_at = None
+        self._failed_position = None
         self._requests_all_events = False
         self._smaller_since_ms = None
         self._disconnect(EndReason.SUPERSEDED)
@@ -166,7 +166,7 @@
                 return
         self._note_progress(line_began=bool(lines) or len(rest) == len(data))
         if len(rest) > self.max_line_bytes:
-            self._stumble(f"line exceeds {self.max_line_bytes} bytes")
+            self._handle_bad_line(f"line exceeds {self.max_line_bytes} bytes")
 
     def _note_progress(self, line_began: bool) -> None:
         """Count progress in the transfer of a long line as activity; a few bytes do not count."""
@@ -199,13 +199,13 @@
         try:
             read = msgspec.json.decode(line)
         except (msgspec.DecodeError, RecursionError):
-            return self._stumble(f"line is not JSON: {line[:60]!r}")
+            return self._handle_bad_line(f"line is not JSON: {line[:60]!r}")
         self._backoff_ms = MIN_BACKOFF_MS
         last = heartbeat_number(read)
         if last is not None:
             return self._handle_heartbeat(last)
         if not self.event(read):
-            return self._connection is not None and self._stumble(
+            return self._connection is not None and self._handle_bad_line(
                 f"line is not the next event: {line[:60]!r}"
             )
         self._alive_ms = monotonic_ms()
@@ -221,7 +221,7 @@
         self._awaits_first_line = False
         written_ms = self._heartbeat_age.received(monotonic_ms())
         if last > self._position:
-            skipped = self._stumble(f"heartbeat states event {last}, but only {self._position} was received")
+            skipped = self._handle_bad_line(f"heartbeat states event {last}, only {self._position} received")
             if skipped and monotonic_ms() - self._connected_ms < MAX_DELAY_MS:
                 self._alive_ms = monotonic_ms()
             return skipped
@@ -230,7 +230,7 @@
             return self._handle_smaller_number(last, fresh)
         if self._replay is not None and self._replay.timer is not None:
             self._end_replay()
-        self._stumbled_at = None  # a later failure is a new one
+        self._failed_position = None  # a later failure is a new one
         self._smaller_numbers = 0
         self._smaller_since_ms = None
         self._requests_all_events = False
@@ -283,7 +283,7 @@
     def _start_replay(self, last: int) -> None:
         self._log(f"change log: at event {last}, was at {self.seq}; it restarted its numbering")
         self.seq = 0
-        self._stumbled_at = None
+        self._failed_position = None
         self._smaller_since_ms = None
         self._requests_all_events = False
         self._order = EventOrder()
@@ -381,7 +381,7 @@
 
     def _advance(self, seq: int, follows: bool) -> bool:
         """Set the position to an event; return False if missing events have to be requested first."""
-        if seq > self._position + 1 and not follows and self._stumbled_at != self._position:
+        if seq > self._position + 1 and not follows and self._failed_position != self._position:
             return False
         if self._replay is not None:
             self._replay.seq = max(seq, self._replay.seq)
@@ -389,11 +389,11 @@
             self.seq = max(seq, self.seq)
         return True
 
-    def _stumble(self, why: str) -> bool:
+    def _handle_bad_line(self, why: str) -> bool:
         """Reconnect to receive events again; return True to skip the fault if it occurred here before."""
-        if self._stumbled_at == self._position:
+        if self._failed_position == self._position:
             return True
         self._log(f"change log: {why}; reconnecting after event {self._position}")
-        self._stumbled_at = self._position
+        self._failed_position = self._position
         self._disconnect(EndReason.PROTOCOL_ERROR)
         return False
--- a/fawnwharf/net/client_port.py
+++ b/fawnwharf/net/client_port.py
@@ -137,7 +137,7 @@
 
     def has_unwritten(self) -> bool:
         """Whether answers to any client are not completely written yet."""
-        return any(client.connection.waiting_bytes for client in self.clients)
+        return any(client.connection.unwritten_bytes for client in self.clients)
 
     # --- closing --------------------------------------------------------------------------------
 
@@ -165,7 +165,7 @@
             if self.loop.batch_full:  # requests were read just now; the next call checks the others
                 return
             unused = not client.open and now_ms - client.connection.used_ms > IDLE_TIMEOUT_MS
-            if unused and client.connection.waiting_bytes:
+            if unused and client.connection.unwritten_bytes:
                 client.connection.close(EndReason.PEER_NOT_READING)
             elif unused:
                 client.release()
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -147,7 +147,7 @@
 
     def on_flushed(self) -> None:
         """Limit the unsent answers after the write of an iteration: the client does not read them."""
-        if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
+        if self.connection.unwritten_bytes > MAX_UNSENT_BYTES:
             self.connection.close(EndReason.PEER_NOT_READING)
             return
         self.port.slow_clients.regulate(self)
@@ -213,7 +213,7 @@
     def idle(self) -> bool:
         """Whether it has no open request and no unwritten answer, and is not being closed."""
         connection = self.connection
-        return not (self.open or connection.waiting_bytes or connection.closed or connection.finishing)
+        return not (self.open or connection.unwritten_bytes or connection.closed or connection.finishing)
 
     @property
     def has_partial_message(self) -> bool:
@@ -272,6 +272,6 @@
         if self.port.paused:
             return False  # unread bytes belong to another process
         for _ in range(MAX_RELEASE_READS):
-            if self.connection.read_now():
+            if self.connection.read_once():
                 return not (self.connection.closed or self.connection.finishing)
         return False
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -28,10 +28,10 @@
 MAX_FINISH_MS = 10_000.0  # for writing the queued output to a peer that keeps receiving
 READ_AGAIN_MS = 50.0  # pause after a read that failed for lack of memory
 # After bytes were unread, or an iteration takes, longer than this, the peer may have ended its output.
-FRESH_MS = 40.0
+PEER_CHECK_AFTER_MS = 40.0
 
 
-def serve_first() -> ReadPriority:
+def first_priority() -> ReadPriority:
     """The read priority of a connection that is always served first in an iteration."""
     return ReadPriority.FIRST
 
@@ -55,7 +55,7 @@
         self.closed = False
         # used_ms: when bytes were last received or sent
         self.last_received_ms = self.used_ms = monotonic_ms()
-        self.waiting_bytes = 0  # queued and not written yet
+        self.unwritten_bytes = 0  # queued and not written yet
         self.input_full = False  # the last read returned the maximum: there may be more
         self.age_ms = 0.0
         self.oldest_age_ms = 0.0
@@ -127,7 +127,7 @@
                 sock.close()
                 return end_reason_of(OSError(code, "connect"), call)
             call = SystemCall.WATCH
-            connection = cls(loop, sock, owner, up=False, order=serve_first if first else None)
+            connection = cls(loop, sock, owner, up=False, order=first_priority if first else None)
         except OSError as error:
             sock.close()
             return end_reason_of(error, call)
@@ -198,7 +198,7 @@
         """Whether the peer may have ended its output without this iteration's reads having noticed it."""
         if not self.reads or self.input_full or self.loop.was_deferred(self._sock):
             return True
-        return max(self.age_ms, monotonic_ms() - self.loop.iteration_ms) > FRESH_MS
+        return max(self.age_ms, monotonic_ms() - self.loop.iteration_ms) > PEER_CHECK_AFTER_MS
 
     def peer_ended(self) -> bool:
         """Whether the peer has ended its output or reset the connection, even if bytes are still unread.
@@ -214,7 +214,7 @@
         """Whether arriving bytes are read at present."""
         return self._reading and not self._read_paused and not self._input_ended
 
-    def read_now(self) -> bool:
+    def read_once(self) -> bool:
         """Read once without waiting for the selector; return whether all received bytes were read."""
         if not (self.closed or self._input_ended or self._read_paused):
             self._read()
@@ -344,7 +344,7 @@
             self.loop.unwatch(self._sock)
         unwritten = b"".join(buffer.data[buffer.written :] for buffer in self._outbox)
         self._outbox.clear()
-        self.waiting_bytes = 0
+        self.unwritten_bytes = 0
         return self._sock, unwritten
 
     def unsent(self) -> int:
@@ -374,7 +374,7 @@
             self._shut_down_output()
         self._sock.close()
         self._outbox.clear()
-        self.waiting_bytes = 0
+        self.unwritten_bytes = 0
         self._order = None  # it may refer to the owner
         owner = self.owner
         self.owner = NO_OWNER
--- a/fawnwharf/net/connection_writer.py
+++ b/fawnwharf/net/connection_writer.py
@@ -23,7 +23,7 @@
     up: bool
     closed: bool
     used_ms: float
-    waiting_bytes: int
+    unwritten_bytes: int
     _sock: socket.socket
     _reading: bool
     _outbox: deque[WriteBuffer]
@@ -63,7 +63,7 @@
     def _queue(self, buffer: WriteBuffer) -> WriteBuffer:
         if not self.closed:
             self._outbox.append(buffer)
-            self.waiting_bytes += buffer.size
+            self.unwritten_bytes += buffer.size
             self.loop.schedule_flush(self)
         return buffer
 
@@ -72,7 +72,7 @@
         if buffer.begun or buffer not in self._outbox:
             return False
         self._outbox.remove(buffer)
-        self.waiting_bytes -= buffer.size
+        self.unwritten_bytes -= buffer.size
         buffer.make = None  # breaks a reference cycle between the buffer and its owner
         return True
 
@@ -99,7 +99,7 @@
         except OSError as error:
             self._write_failed(end_reason_of(error, SystemCall.SEND))
             return
-        self.waiting_bytes -= count
+        self.unwritten_bytes -= count
         now_ms = monotonic_ms()
         if views:
             self.used_ms = now_ms
@@ -121,7 +121,7 @@
         if data is None:
             self.withdraw(buffer)
             return False
-        self.waiting_bytes += len(data) - buffer.size
+        self.unwritten_bytes += len(data) - buffer.size
         buffer.data = data
         buffer.size = len(data)
         return True
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -17,9 +17,7 @@
     CLOSED_BY_PEER = auto()
     RESET_BY_PEER = auto()
     PROTOCOL_ERROR = auto()  # the peer violated the protocol
-    PEER_NOT_READING = (
-        auto()
-    )  # the peer does not read: too much output is queued, or a frame stays partially written
+    PEER_NOT_READING = auto()  # too much output is queued, or a frame stays partially written
     SILENT = auto()  # nothing was received for too long
     IDLE = auto()  # closed by this side without open streams
     SUPERSEDED = auto()  # closed by this side, as its scorer has gone or restarted
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -168,7 +168,7 @@
             io.Cancel: self.requests.cancel,
             io.Reject: self.requests.reject,
             io.Fail: self.requests.fail,
-            io.OrderCopies: self.requests.start_load,
+            io.OrderCopies: self.requests.send_load_order,
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
@@ -311,7 +311,7 @@
         fleet = self.start_times.correct(fleet, self.loop.clock.now_ms(), outdated_ms)
         if self.start_times.corrected_starts > corrected_before:
             self.log("start times of scorers come from a clock that differs from this one", "clock")
-        self.receive_fleet(fleet)
+        self.apply_roster_event(fleet)
         if self._extension:
             self._extension.on_fleet(fleet)
 
@@ -319,9 +319,9 @@
         if (event := self.roster_confirmation.confirm(proved_ms)) is not None:
             self.loop.enqueue(event)
 
-    def receive_fleet(self, fleet: Fleet) -> None:
+    def apply_roster_event(self, fleet: Fleet) -> None:
         """Apply a complete roster or a change to it, filtered by the roster overlay."""
-        self.apply_fleet(self.roster_overlay.apply(fleet))
+        self.apply_filtered_roster(self.roster_overlay.apply(fleet))
 
     def intercept(self, kind: type, wrap: Callable[[ActionHandler], ActionHandler]) -> None:
         """Execute all actions of a kind with `wrap(previous handler)` from now on."""
@@ -334,7 +334,7 @@
         if (lowest_rps := min(self._call_limits.values())) != previous_rps:
             self.loop.enqueue(io.LimitsChanged(lowest_rps))
 
-    def apply_fleet(self, fleet: Fleet) -> None:
+    def apply_filtered_roster(self, fleet: Fleet) -> None:
         """Pass a complete roster, or a change to it, to the scorer pool and the router."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -304,7 +304,7 @@
             return None
         return min(MAX_CONCURRENCY, answer.concurrency)
 
-    def start_load(self, action: io.OrderCopies) -> None:
+    def send_load_order(self, action: io.OrderCopies) -> None:
         """Send a load order, or a query for the number of copies, to a scorer.
 
         An order is reported as not sent if all clients that waited for the function have disconnected.
@@ -320,7 +320,7 @@
         elif order.copies and self._was_requested(order.function):
             self._order_ended(order, EndReason.NEVER_SENT, None)
             return
-        self._pool.start_load(order)
+        self._pool.send_load_order(order)
 
     def _was_requested(self, function: str) -> bool:
         """Whether a request for the function was abandoned in this batch or in the previous one."""
--- a/fawnwharf/net/roster_overlay.py
+++ b/fawnwharf/net/roster_overlay.py
@@ -66,7 +66,7 @@
             if self._phase(member) != before[member_id]
         )
 
-    def open_except_for(self, who: str) -> list[Member]:
+    def in_service_except_for(self, who: str) -> list[Member]:
         """The scorers in service that no filter excludes, apart from that of `who`."""
         return [
             member
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -70,7 +70,7 @@
             and request_id not in self._used_ids
             and request_id not in self._answered_ids
         )
-        return has_capacity and is_unused and self.connection.waiting_bytes < MAX_UNWRITTEN_BYTES
+        return has_capacity and is_unused and self.connection.unwritten_bytes < MAX_UNWRITTEN_BYTES
 
     def idle_ms(self) -> float:
         """For how long it has had no open stream."""
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -90,7 +90,7 @@
         self.log = log
         self.scorers: dict[int, Scorer] = {}
         self.max_connections = max_connections
-        self._link_count = 0
+        self._connection_count = 0
         self._reuse_idle_limit_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
         self._reuse_idle_ms = self._reuse_idle_limit_ms  # a connection idle for longer is not reused
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
@@ -169,7 +169,7 @@
         else:
             self._time_out(attempt)
 
-    def start_load(self, order: LoadOrder) -> None:
+    def send_load_order(self, order: LoadOrder) -> None:
         """Send a load order to its scorer; it ends after `Wire.load_wait_ms` at the latest."""
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._time_out(order))
@@ -235,7 +235,7 @@
     def _may_spread(self) -> bool:
         """Whether to dial connections for spreading; limits the load of many front ends on a scorer."""
         cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
-        return cheap and self._link_count < SPREAD_SHARE * self.max_connections
+        return cheap and self._connection_count < SPREAD_SHARE * self.max_connections
 
     def _dial(self, scorer: Scorer) -> None:
         """Start as many dials as the waiting streams need, unless a redial is scheduled."""
@@ -254,12 +254,12 @@
 
         Otherwise idle connections to some scorers would cause requests to others to be rejected.
         """
-        if self._link_count >= self.max_connections:
+        if self._connection_count >= self.max_connections:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
             idle = [link for link in links if link.up and not link.streams]
             if longest_idle := max(idle, key=ScorerConnection.idle_ms, default=None):
                 longest_idle.connection.close(EndReason.IDLE)
-        return self._link_count < self.max_connections
+        return self._connection_count < self.max_connections
 
     def _dial_later(self, scorer: Scorer) -> None:
         """Keep streams queued and dial again after a pause: a local error says nothing about the scorer."""
@@ -278,7 +278,7 @@
         link.connection = dialled
         dialled.limit_partial_writes(MAX_PARTIAL_WRITE_MS)
         scorer.links.append(link)
-        self._link_count += 1
+        self._connection_count += 1
         return None
 
     def _fail_waiting(self, scorer: Scorer, end: EndReason) -> None:
@@ -300,7 +300,7 @@
         """Remove a connection that has ended; unwritten streams are moved to another one, the rest ends."""
         scorer = link.scorer
         scorer.links.remove(link)
-        self._link_count -= 1
+        self._connection_count -= 1
         idle_ms = link.stale_idle_ms(end, STALE_RESET_MS)
         if idle_ms is not None and idle_ms >= MIN_REUSE_IDLE_MS:
             decreased_ms = max(MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE * idle_ms)
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -34,7 +34,7 @@
     def regulate(self, client: "ClientConnection") -> None:
         """Choose whether a client is read as its bytes arrive or only once per scan."""
         connection = client.connection
-        is_slow = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
+        is_slow = self.paused or connection.unwritten_bytes >= UNSENT_PAUSE_BYTES
         connection.set_reading(connection.finishing or not is_slow)
         if not (connection.reads or connection.closed):
             self.check_later(client)
@@ -71,18 +71,18 @@
             ended = connection.closed or connection.finishing
             if ended or connection.queued_buffers > MAX_UNSENT_ANSWERS or self._loop.batch_full:
                 return
-            if connection.read_now():
+            if connection.read_once():
                 return
 
     def unsent_bytes(self) -> int:
         """Return how many bytes are queued for all clients together."""
-        return sum(client.connection.waiting_bytes for client in self._clients)
+        return sum(client.connection.unwritten_bytes for client in self._clients)
 
     def enforce_limit(self) -> None:
         """Close the slow clients that have been inactive for longest, until the total limit is met."""
         while self.unsent_bytes() > MAX_TOTAL_UNSENT_BYTES:
             slow = [
-                client for client in self._clients if client.connection.waiting_bytes > UNSENT_PAUSE_BYTES
+                client for client in self._clients if client.connection.unwritten_bytes > UNSENT_PAUSE_BYTES
             ]
             if not slow:
                 return
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -96,7 +96,7 @@
         front = self.front
         self._send_order = send_order
         self.order_gate = LoadOrderGate(
-            send_order, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+            send_order, front.scorer_pool.send_load_order, front.loop.enqueue, front.requests.open
         )
         return self.order_gate.carry
 
@@ -208,6 +208,6 @@
             elif not isinstance(action, LoadOrder):
                 self.admission.notify(action)
             elif isinstance(action.event, io.OrderCopies):
-                self.front.requests.start_load(action.event)
+                self.front.requests.send_load_order(action.event)
             else:
                 self.front.loop.enqueue(action.event)
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -174,7 +174,7 @@
             for member in stored_roster(self.parts.store.read(StateKind.ROSTER))
         ]
         if members:
-            self.front.receive_fleet(Fleet(members, True))
+            self.front.apply_roster_event(Fleet(members, True))
             self.parts.zones.on_fleet(Fleet(members, True))
             self.integration.update_roster()
             self._log.write("earlier roster used", {"scorers": len(members)})
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -85,7 +85,7 @@
 
     def has_unsent_bytes(self) -> bool:
         """Whether any reader's connection has bytes that are not written yet."""
-        return any(reader.connection.waiting_bytes for reader in self.readers if reader.since is not None)
+        return any(reader.connection.unwritten_bytes for reader in self.readers if reader.since is not None)
 
     def number(self, reader: Any) -> int:
         """The sequence number of the last line sent to a reader."""
--- a/fawnwharf/replication/outlier_ejection.py
+++ b/fawnwharf/replication/outlier_ejection.py
@@ -49,7 +49,7 @@
         reported = list(reported)
         if not reported and not self.ejected_ids and not self.ejections.ejected(now_ms):
             return unchanged  # avoids a scan of the fleet
-        scorers = {scorer_number(member.id): member for member in overlay.open_except_for(FILTER_NAME)}
+        scorers = {scorer_number(member.id): member for member in overlay.in_service_except_for(FILTER_NAME)}
         zones = {number: member.locality for number, member in scorers.items()}
         zone_sizes = Counter(zones.values())
         for outliers in reported:
--- a/fawnwharf/replication/periodic_reports.py
+++ b/fawnwharf/replication/periodic_reports.py
@@ -57,5 +57,5 @@
         changes = self._outlier_ejector.update(now_ms, self._core.reported_outliers, front_end.roster_overlay)
         self._core.reported_outliers.clear()
         if changes.members:
-            front_end.apply_fleet(changes)
+            front_end.apply_filtered_roster(changes)
         front_end.loop.timers.after(self._core.settings.failure_report_interval_ms, self._report_failures)
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -192,7 +192,7 @@
         """Creates the subsystems again after the other process has ended; raises `ConfigError`."""
         self._parts = self._create_subsystems(is_first_process=False)
         for owner in ROSTER_FILTER_OWNERS:
-            front.apply_fleet(front.roster_overlay.set_filter(owner, None))
+            front.apply_filtered_roster(front.roster_overlay.set_filter(owner, None))
         front.limit_calls(ROSTER_FILTER_OWNERS[0], io.UNLIMITED_RPS)
         members = list(front.roster_overlay.members.values())
         self.on_fleet(config.Fleet(members, complete=True, revision=front.roster_overlay.revision))
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -232,7 +232,7 @@
         own order, so where one is in progress that is waited for.
         """
         if not self._is_loading(question.scorer, question.function):
-            self.front.requests.start_load(question)
+            self.front.requests.send_load_order(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -100,7 +100,7 @@
         self.lines += 1
         return True
 
-    def _stumble(self, _why: str) -> bool:
+    def _handle_bad_line(self, _why: str) -> bool:
         """Close the connection, without the further attempts that the change log makes."""
         if self._connection:
             self._connection.close(EndReason.PROTOCOL_ERROR)
@@ -140,7 +140,7 @@
 
     def on_flushed(self) -> None:
         """Disconnect a reader that reads too slowly."""
-        if self.connection.waiting_bytes > MAX_UNREAD_BYTES:
+        if self.connection.unwritten_bytes > MAX_UNREAD_BYTES:
             self.connection.close(EndReason.PEER_NOT_READING)
 
     def on_end(self, _end: EndReason) -> None:
--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -54,7 +54,7 @@
             ROSTER_FILTER_KEY, roster_filter.roster_filter_for_plan(plan, self._zone)
         )
         if changes.members:
-            front.apply_fleet(changes)
+            front.apply_filtered_roster(changes)
         admission = admitted_fraction(plan, self._zone)
         front.limit_calls(ADMISSION_LIMIT_KEY, self._admitted_rps(plan, admission))
         scorers_changed, rounded = len(changes.members), round(admission, 3)
--- a/tests/net/test_net_client_closing.py
+++ b/tests/net/test_net_client_closing.py
@@ -165,7 +165,7 @@
             client.sock.send(call_frame(1) * 20)
             rig.front.loop.run_iteration(0.0)
         self.assertEqual(server_side.state(), (b"", 0))
-        self.assertEqual((arrived_requests(self), server_side.connection.waiting_bytes), ([], 0))
+        self.assertEqual((arrived_requests(self), server_side.connection.unwritten_bytes), ([], 0))
 
 
 class Capacity(Case):
--- a/tests/net/test_net_client_disconnects.py
+++ b/tests/net/test_net_client_disconnects.py
@@ -201,7 +201,8 @@
         key = self.open_request(rig, client)
         client.sock.close()
         client.ended = True
-        rig.front.loop.iteration_ms -= 2 * connection.FRESH_MS  # as if the iteration had begun earlier
+        # As if the iteration had begun earlier.
+        rig.front.loop.iteration_ms -= 2 * connection.PEER_CHECK_AFTER_MS
         rig.front.requests.send(io.Send(key, scorer_number("s-1")))
         self.assertNotIn(key, rig.front.requests.open)
         wait(rig, 50.0)
@@ -214,7 +215,7 @@
         client.sock.sendall(call_frame(1))
         client.sock.close()
         client.ended = True
-        age_ms = 2 * connection.FRESH_MS
+        age_ms = 2 * connection.PEER_CHECK_AFTER_MS
         with mock.patch.object(connection.Connection, "_age", return_value=age_ms):
             rig.until(lambda: not rig.front.client_port.clients, "the connection has ended")
         self.assertEqual(arrived_requests(self), [])
@@ -224,7 +225,7 @@
         rig = self.rig(scorer)
         client = rig.client()
         with (
-            mock.patch.object(connection, "FRESH_MS", 60_000.0),  # so that a busy machine does not matter
+            mock.patch.object(connection, "PEER_CHECK_AFTER_MS", 60_000.0),  # so that load does not matter
             mock.patch("select.poll") as poll,
         ):
             client.call()
@@ -276,7 +277,7 @@
         server_side, filler = self.server_side(rig, client), b"x" * 7_000_000
         server_side._write(filler)
         rig.front.loop.run_iteration(0.0)
-        self.assertTrue(server_side.connection.waiting_bytes)
+        self.assertTrue(server_side.connection.unwritten_bytes)
         client.sock.shutdown(socket.SHUT_WR)
         rig.until(lambda: rig.clients.clear() or not rig.front.requests.open, "the half-close is detected")
         received = bytearray()
@@ -331,7 +332,7 @@
             sock = socket.socketpair()
             sock[0].setblocking(False)
             self.addCleanup(sock[1].close)
-            order = connection.serve_first if first else None
+            order = connection.first_priority if first else None
             paused = connection.Connection(rig.front.loop, sock[0], mock.Mock(), order=order)
             self.addCleanup(paused.close, connection.EndReason.STOPPED)
             paused.set_reading(False)
--- a/tests/net/test_net_client_disconnects_before_send.py
+++ b/tests/net/test_net_client_disconnects_before_send.py
@@ -49,7 +49,7 @@
                 self.assertEqual(len(link.streams), 1)
                 self.leave(rig, client, key, "withdraw")
                 self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
-                self.assertEqual(link.connection.waiting_bytes, 0)
+                self.assertEqual(link.connection.unwritten_bytes, 0)
                 self.unblock(blocked)
                 rig.settle(rig.client())
                 self.assertEqual(scorer.frames, [])
@@ -104,10 +104,10 @@
         if connected:
             self.link_up(rig, scorer)
         if not before:
-            rig.front.requests.start_load(io.OrderCopies(BY_POOL, ROW, copies))
+            rig.front.requests.send_load_order(io.OrderCopies(BY_POOL, ROW, copies))
         clients = [self.asked(rig) for _ in range(requests)]
         if before:
-            rig.front.requests.start_load(io.OrderCopies(BY_POOL, ROW, copies))
+            rig.front.requests.send_load_order(io.OrderCopies(BY_POOL, ROW, copies))
         return rig, scorer, clients
 
     def test_an_order_created_for_the_request_is_cancelled(self):
@@ -135,7 +135,7 @@
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the query is sent")
         scorer = ScorerPeer(copies=None)
         rig = self.rig(scorer)
-        rig.front.requests.start_load(io.OrderCopies(BY_POOL, ROW, 1))
+        rig.front.requests.send_load_order(io.OrderCopies(BY_POOL, ROW, 1))
         call = Call(b"12345678", "view", "acme", ROW, 8000.0, b"", "", 1, None, None, lambda outcome: None)
         rig.front.requests.withdraw(rig.front.requests.take(call))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the load order without a request is sent")
@@ -146,7 +146,7 @@
         client, key = self.asked(rig)
         self.leave(rig, client, key, "withdraw")
         rig.front.requests.begin_batch()
-        rig.front.requests.start_load(io.OrderCopies(BY_POOL, ROW, 1))
+        rig.front.requests.send_load_order(io.OrderCopies(BY_POOL, ROW, 1))
         self.assertEqual(self.order_endings(), [io.AttemptResult.NOT_SENT])
         self.turn(rig)
         self.assertEqual((scorer.links, scorer.frames), ([], []))
@@ -157,7 +157,7 @@
         _, key = self.asked(rig)
         rig.front.requests.fail(io.Fail(key))
         rig.front.requests.begin_batch()
-        rig.front.requests.start_load(io.OrderCopies(BY_POOL, ROW, 1))
+        rig.front.requests.send_load_order(io.OrderCopies(BY_POOL, ROW, 1))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the load order is sent")
 
     def test_the_router_does_not_count_a_cancelled_order_as_a_load_in_progress(self):
--- a/tests/net/test_net_load_orders.py
+++ b/tests/net/test_net_load_orders.py
@@ -67,7 +67,7 @@
         """The ends of an order whose connection takes `wait_ms`, and how many frames the scorer received."""
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        rig.front.scorer_pool.start_load(order(BY_POOL, ended, copies))
+        rig.front.scorer_pool.send_load_order(order(BY_POOL, ended, copies))
         self.clock.advance(wait_ms)
         rig.until(lambda: ended or scorer.frames, "the order is sent or ends")
         rig.settle(rig.client())
--- a/tests/net/test_net_load_orders_of_disconnected_clients.py
+++ b/tests/net/test_net_load_orders_of_disconnected_clients.py
@@ -37,7 +37,7 @@
         return actions
 
     rig.front.router.handle = handle
-    assert connection.FRESH_MS < STALL_S * 1000.0
+    assert connection.PEER_CHECK_AFTER_MS < STALL_S * 1000.0
     leaving.sock.sendall(handle_frame(2, CALL | {"call": f"{2:016x}", "row": COLD}))
     rig.until(lambda: left, "the load order is decided")
     rig.clients.remove(leaving)
--- a/tests/net/test_net_roster_overlay.py
+++ b/tests/net/test_net_roster_overlay.py
@@ -93,7 +93,7 @@
         for who in FILTERS:
             others = set().union(*(ids for other, ids in self.excluded_by.items() if other != who))
             left = {id for id, phase in self.roster.items() if phase == "in_service"} - others
-            assert {member.id for member in self.overlay.open_except_for(who)} == left
+            assert {member.id for member in self.overlay.in_service_except_for(who)} == left
 
 
 REPORTS = strategies.tuples(
@@ -142,7 +142,9 @@
         scorers = rig.front.router.scorers
         rig.until(lambda: len(scorers) == 2, "both scorers are known")
         for who in ("zones", "state"):
-            rig.front.apply_fleet(rig.front.roster_overlay.set_filter(who, lambda member: member.id == "s-1"))
+            rig.front.apply_filtered_roster(
+                rig.front.roster_overlay.set_filter(who, lambda member: member.id == "s-1")
+            )
         rig.log.say({"seq": 2, "fleet": {"members": [one.member(), two.member()]}})
         rig.until(
             lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "the event is applied"
@@ -150,8 +152,8 @@
         self.assertEqual(extension.recorded, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
         found = {id: scorers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
         self.assertEqual(found, {"s-1": ScorerState.DRAINING, "s-2": ScorerState.READY})
-        rig.front.apply_fleet(rig.front.roster_overlay.set_filter("zones", None))
-        rig.front.apply_fleet(rig.front.roster_overlay.set_filter("state", None))
+        rig.front.apply_filtered_roster(rig.front.roster_overlay.set_filter("zones", None))
+        rig.front.apply_filtered_roster(rig.front.roster_overlay.set_filter("state", None))
         rig.until(
             lambda: scorers[scorer_number("s-1")].entry.state is ScorerState.READY,
             "the scorer is in service again",
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -123,7 +123,7 @@
         rig.front.loop.timers.advance()  # the dial times out when it is established, but before that is read
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees the close")
-        self.assertEqual((scorer.frames, rig.front.scorer_pool._link_count), ([], 0))
+        self.assertEqual((scorer.frames, rig.front.scorer_pool._connection_count), ([], 0))
 
     def test_one_that_is_established_in_the_iteration_of_its_time_limit_is_used(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -231,7 +231,7 @@
         self.link_up(rig, scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.front.scorer_pool.close()
-        self.assertEqual((ended, rig.front.scorer_pool._link_count), ([(EndReason.STOPPED, False)], 0))
+        self.assertEqual((ended, rig.front.scorer_pool._connection_count), ([(EndReason.STOPPED, False)], 0))
 
     def test_an_idle_connection_is_closed_if_another_scorer_needs_one(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
@@ -357,7 +357,7 @@
         rig.front.scorer_pool._order_ids = itertools.count(next_id)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=next_id.to_bytes(8, "big")))
         rig.until(lambda: scorer.runs, "the scorer receives the call")
-        rig.front.scorer_pool.start_load(order(BY_POOL, ended))
+        rig.front.scorer_pool.send_load_order(order(BY_POOL, ended))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the scorer receives the order")
         [(link, frame)], [(of_call, call)] = scorer.of(scorer_frames.LOAD), scorer.runs
         self.assertEqual(frame.id, call.id)
--- a/tests/net/test_net_scorer_connection_writes.py
+++ b/tests/net/test_net_scorer_connection_writes.py
@@ -65,16 +65,16 @@
         streams = [attempt(BY_POOL, ended, id=b"%08d" % n, body=BODY) for n in range(3)]
         for stream in streams:
             rig.front.scorer_pool.send(stream)
-        rig.front.scorer_pool.start_load(order(BY_POOL, ended))
-        self.assertGreaterEqual(link.connection.waiting_bytes, 3 * len(BODY))
+        rig.front.scorer_pool.send_load_order(order(BY_POOL, ended))
+        self.assertGreaterEqual(link.connection.unwritten_bytes, 3 * len(BODY))
         self.turn(rig)
         self.assertEqual(
-            link.connection.waiting_bytes, sum(buffer.size for buffer in link.connection._outbox)
+            link.connection.unwritten_bytes, sum(buffer.size for buffer in link.connection._outbox)
         )
         rig.front.scorer_pool.cancel(streams[1])
         self.unblock(blocked)
         rig.until(lambda: len(scorer.frames) == 3, "the other frames are written")
-        self.assertEqual(link.connection.waiting_bytes, 0)
+        self.assertEqual(link.connection.unwritten_bytes, 0)
 
 
 class Expiry(Case):
@@ -121,7 +121,7 @@
                 self.clock.advance(span_ms)
                 link.connection.flush()  # before a timer has run
                 self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
-                self.assertEqual(link.connection.waiting_bytes, 0)
+                self.assertEqual(link.connection.unwritten_bytes, 0)
                 self.assert_never_sent(rig, scorer)
 
     def test_on_a_blocked_connection(self):
@@ -257,7 +257,7 @@
                 if kind == "cancel":
                     rig.front.scorer_pool.cancel(stream)
                 else:
-                    rig.front.scorer_pool.start_load(order(BY_POOL, ended))
+                    rig.front.scorer_pool.send_load_order(order(BY_POOL, ended))
                 self.turn(rig)
                 before = len(scorer.frames)
                 self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -116,11 +116,11 @@
                     scorer = ScorerPeer(copies=None)
                     rig, pool, id = self.pool(scorer)
                     if linked:
-                        pool.start_load(order(id, []))
+                        pool.send_load_order(order(id, []))
                         rig.until(lambda scorer=scorer: scorer.frames, "a connection is established")
                     ended, before = [], len(scorer.frames)
                     pool.send(attempt(id, ended))
-                    pool.start_load(order(id, ended))
+                    pool.send_load_order(order(id, ended))
                     pool.update(id, None, state, 0.0)
                     self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)] * 2)
                     rig.settle(rig.client())
@@ -131,9 +131,9 @@
         rig, pool, id = self.pool(scorer)
         pool.update(id, None, io.ScorerState.DRAINING, 0.0)
         pool.send(attempt(id, ended))
-        pool.start_load(order(id, ended))
+        pool.send_load_order(order(id, ended))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)] * 2)
-        pool.start_load(order(id, ended, copies=0))
+        pool.send_load_order(order(id, ended, copies=0))
         rig.until(lambda: len(ended) == 3, "the query is answered")
         self.assertEqual(ended[2], (io.AttemptResult.GOOD, True))
 
@@ -221,7 +221,7 @@
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
-        rig.front.scorer_pool.start_load(order(id, ended))
+        rig.front.scorer_pool.send_load_order(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "two connections are idle")
         for peer, link in zip(scorer.links, list(rig.front.scorer_pool.scorers[id].links), strict=True):
             peer.sock.shutdown(socket.SHUT_WR)
@@ -273,13 +273,13 @@
             self.addCleanup(sock.close)
         rig = self.rig(scorer)
         id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
-        pool.start_load(order(id, [], copies=0))
+        pool.send_load_order(order(id, [], copies=0))
         rig.until(lambda: scorer.frames, "a connection is established")
         pool.wire = msgspec.structs.replace(pool.wire, load_wait_ms=500.0, dial_timeout_ms=60.0)
         rig.front.scorer_pool.update(9, full.getsockname(), io.ScorerState.READY, 0.0)
         rig.front.scorer_pool.send(attempt(id, ended, within_ms=500.0))
         rig.until(lambda: ended, "the attempt ends")
-        rig.front.scorer_pool.start_load(order(id, ended))
+        rig.front.scorer_pool.send_load_order(order(id, ended))
         rig.until(lambda: len(ended) == 2, "the order ends")
         rig.front.scorer_pool.send(attempt(9, ended))
         rig.until(lambda: len(ended) == 3, "the dial ends")
@@ -289,14 +289,14 @@
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
-        pool.start_load(order(id, ended))
+        pool.send_load_order(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "two connections are idle")
         used, spare = pool.scorers[id].links
         rig.until(
             lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both connections have been idle for 100 ms"
         )
         scorer.copies = None
-        pool.start_load(order(id, ended))
+        pool.send_load_order(order(id, ended))
         with mock.patch.object(scorer_pool, "STALE_RESET_MS", 60_000.0):
             rig.until(lambda: len(scorer.frames) == 2, "the connection is used again")
             reset(scorer.frames[1][0].sock)
@@ -348,7 +348,7 @@
         busy, idle = ScorerPeer("s-1", copies=None), ScorerPeer("s-2")
         rig, ended = self.rig(busy, idle, settings={"bounds": {"keepalive": 0.0}}), []
         for peer in (busy, idle):
-            rig.front.scorer_pool.start_load(order(front_end.scorer_number(peer.id), ended))
+            rig.front.scorer_pool.send_load_order(order(front_end.scorer_number(peer.id), ended))
         rig.until(lambda: ended and busy.frames, "one order is answered")
         rig.until(lambda: idle.links[0].ended, "the idle connection is closed")
         self.assertFalse(busy.links[0].ended)
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -87,7 +87,7 @@
                 self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
                 self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
-                self.assertEqual((self.links(rig), rig.front.scorer_pool._link_count), ([], 0))
+                self.assertEqual((self.links(rig), rig.front.scorer_pool._connection_count), ([], 0))
 
     def test_a_lasting_error_ends_each_stream_only_after_its_own_wait(self):
         rig, scorer, ended, fault = self.send_with_fault("connect", "EADDRNOTAVAIL", times=10**9)
--- a/tests/net/test_net_scorer_state_machine.py
+++ b/tests/net/test_net_scorer_state_machine.py
@@ -89,7 +89,7 @@
 
     def order(self):
         self.add(stream := order(self.random_scorer(), [], copies=self.random.randrange(2)))
-        self.pool.start_load(stream)
+        self.pool.send_load_order(stream)
 
     def open(self):
         return [stream for stream in self.streams if stream not in self.ends]
@@ -181,11 +181,11 @@
                 self.arrived(frame, by_id.get(frame.id))
             self.seen[peer] = len(peer.frames)
         links = [link for scorer in self.pool.scorers.values() for link in scorer.links]
-        self.case.assertEqual(self.pool._link_count, len(links))
+        self.case.assertEqual(self.pool._connection_count, len(links))
         for link in links:
             buffers = link.connection._outbox
             unwritten = sum(buffer.size - buffer.written for buffer in buffers)
-            self.case.assertEqual(link.connection.waiting_bytes, unwritten)
+            self.case.assertEqual(link.connection.unwritten_bytes, unwritten)
 
     def arrived(self, frame, stream):
         self.case.assertIsNotNone(stream, f"frame of an unknown stream: {frame}")
--- a/tests/net/test_net_slow_clients.py
+++ b/tests/net/test_net_slow_clients.py
@@ -49,11 +49,11 @@
 
         rig.until(all_answered, "all requests are answered")
         [server_side] = rig.front.client_port.clients
-        self.assertGreater(server_side.connection.waiting_bytes, clients.MAX_READ_BYTES)
+        self.assertGreater(server_side.connection.unwritten_bytes, clients.MAX_READ_BYTES)
 
         def all_read():
             client.data += self.read_some(client)
-            return len(client.data) >= 32 * LONG_ANSWER_BYTES and not server_side.connection.waiting_bytes
+            return len(client.data) >= 32 * LONG_ANSWER_BYTES and not server_side.connection.unwritten_bytes
 
         rig.until(all_read, "all answers are read")
         client.pump()
@@ -80,7 +80,7 @@
 
     def test_it_is_read_as_its_bytes_arrive_once_its_answers_are_read(self):
         rig, client, server_side = self.blocked()
-        while server_side.connection.waiting_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
+        while server_side.connection.unwritten_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
             self.read_some(client)
             rig.front.loop.run_iteration(0.0)
         self.assertTrue(server_side.connection.reads)
@@ -106,7 +106,7 @@
         rig.clients.remove(other)
         self.addCleanup(other.sock.close)
         other_server_side = self.server_side(rig, other)
-        limit = longest_unread.connection.waiting_bytes * 3 // 2
+        limit = longest_unread.connection.unwritten_bytes * 3 // 2
         with mock.patch.object(slow_clients, "MAX_TOTAL_UNSENT_BYTES", limit):
             other_server_side._write(UNREAD_ANSWER)
             rig.front.loop.run_iteration(0.0)
--- a/tests/recovery_service/test_recovery_service_integration.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -53,7 +53,7 @@
     def between(self, below):
         front = self.front
         self.order_gate = LoadOrderGate(
-            below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+            below, front.scorer_pool.send_load_order, front.loop.enqueue, front.requests.open
         )
         return self.order_gate.carry
 
@@ -75,7 +75,7 @@
         for out in outs:
             if isinstance(out, LoadOrder):
                 tell = (
-                    self.front.requests.start_load
+                    self.front.requests.send_load_order
                     if isinstance(out.event, io.OrderCopies)
                     else self.front.loop.enqueue
                 )
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -198,7 +198,7 @@
         }
         left = {name: found for name, found in left.items() if found}
         assert not left, left
-        assert front.scorer_pool._link_count == len(links)
+        assert front.scorer_pool._connection_count == len(links)
 
     def close(self) -> None:
         """Close the front end and all peers, and uninstall the clock and the faults."""
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -81,7 +81,7 @@
     def link_up(self, rig, peer, scorer=BY_POOL):
         """Establish the only connection to a scorer, without open streams."""
         ended, copies, peer.copies = [], peer.copies, 0
-        rig.front.scorer_pool.start_load(order(scorer, ended, copies=0))
+        rig.front.scorer_pool.send_load_order(order(scorer, ended, copies=0))
         rig.until(lambda: ended and self.links(rig, scorer)[0].up, "a connection is established")
         [link] = self.links(rig, scorer)
         peer.frames.clear()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -76,7 +76,7 @@
             rig.until(lambda asked=asked: len(rig.log.asked()) == asked, "the log is asked again")
             rig.log.say(b"1")
             rig.until(
-                lambda: rig.front.change_log._stumbled_at is None, "the log is read without errors again"
+                lambda: rig.front.change_log._failed_position is None, "the log is read without errors again"
             )
 
     def test_a_move_leaves_one_connection_to_the_new_address_and_no_late_dial(self):
