--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -180,7 +180,7 @@
         sorted(scorers_in_maintenance),
         started_age_ms=clock_ms - min(clock_ms, router.first_event_ms),
         run_ms=router.run_ms,
-        concurrent_load_limit=router.loads_limit,
+        concurrent_load_limit=router.load_limit,
         largest_scorer_fleet=router.largest_ready_size,
         hedge_tokens=router.hedge_tokens,
         request_ages_ms=_ages(router.arrivals_ms, clock_ms),
@@ -272,7 +272,7 @@
     written_ms = clock_ms - (monotonic_ms - learned.written_monotonic_ms)  # on the module's clock
     router.first_event_ms = written_ms - learned.started_age_ms
     router.run_ms = learned.run_ms
-    router.loads_limit = learned.concurrent_load_limit
+    router.load_limit = learned.concurrent_load_limit
     router.hedge_tokens = learned.hedge_tokens
     router.largest_ready_size = max(router.largest_ready_size, learned.largest_scorer_fleet)
     router.arrivals_ms.extend(_times(learned.request_ages_ms, written_ms))
--- a/fawnwharf/interface.py
+++ b/fawnwharf/interface.py
@@ -99,11 +99,11 @@
     hedging: bool = True  # a request may have more than one attempt in flight
     max_attempts: int = 1  # per request
     max_retry_after_ms: float = 0.0  # Retry-After of a rejection; 0: clients ignore it, so none is given
-    idle_life_ms: float = 10000.0  # idle lifetime: an unused copy is unloaded after this time
+    idle_lifetime_ms: float = 10000.0  # idle lifetime: an unused copy is unloaded after this time
     loads_on_miss: bool = False  # a call that finds no copy starts a load at its scorer
     load_window_ms: float = 0.0  # window of the load rate limit; 0: no limit
     free_loads: float = 0.0  # number of loads always allowed in a window
-    load_part: float = 0.0  # further loads allowed in a window, as a part of the arrivals in it
+    loads_per_arrival: float = 0.0  # further loads allowed in a window, as a part of the arrivals in it
     slow_start_ms: float = 10000.0  # duration of the slow start, until a scorer has its full capacity
     slow_start_initial_share: float = 0.2  # part of the full capacity that a scorer has at its start
     slow_start_window_ms: float = 1000.0  # window of the limit on requests to a scorer in slow start
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -31,7 +31,7 @@
     """Decides when, where and how many copies this front end orders."""
 
     loading = 0  # load orders of this front end in progress
-    loads_limit = INITIAL_LOADS  # limit on `loading`; lower while the store is overloaded
+    load_limit = INITIAL_LOADS  # limit on `loading`; lower while the store is overloaded
 
     def _load_speculatively(self, fn: Function) -> None:
         """Order the copies that queued requests need: one per `lanes` requests, less those being loaded."""
@@ -115,8 +115,8 @@
             scorer_copies.blocked_until_ms = self.now + BLOCK_MS
         if event.result in (io.AttemptResult.GOOD, io.AttemptResult.ERROR):
             # Slow and failed loads lower the limit, to protect the store.
-            change = 1 / self.loads_limit if is_timely else -0.2 * self.loads_limit
-            self.loads_limit = min(MAX_LOADS, max(MIN_LOADS, self.loads_limit + change))
+            change = 1 / self.load_limit if is_timely else -0.2 * self.load_limit
+            self.load_limit = min(MAX_LOADS, max(MIN_LOADS, self.load_limit + change))
 
     def _update_speculation(self, fn: Function, waited_ms: float) -> bool:
         """Switch speculative loads off if Ti > Te and on if Td > Tp; returns whether they are on.
@@ -147,7 +147,7 @@
 
     def _may_load(self) -> bool:
         """Whether a load may be ordered now, at any scorer."""
-        is_allowed = self.loading < self.loads_limit and self.settings.load_orders_allowed
+        is_allowed = self.loading < self.load_limit and self.settings.load_orders_allowed
         return is_allowed and self._load_rate_left() >= 1
 
     def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
@@ -181,7 +181,7 @@
         kept_from_ms = self.now - window_ms - self.settings.tick_ms - ORDER_TRANSIT_MS
         while self.load_orders_ms and self.load_orders_ms[0] < kept_from_ms:
             self.load_orders_ms.popleft()
-        limit = self.settings.free_loads + self.settings.load_part * len(self.arrivals_ms)
+        limit = self.settings.free_loads + self.settings.loads_per_arrival * len(self.arrivals_ms)
         return limit - len(self.load_orders_ms) if window_ms > 0 else math.inf
 
     def _refresh_copies(self) -> None:
@@ -201,7 +201,8 @@
                 if self._copies(fn, self.scorers[number])
             ]
             refreshed_until_ms = (
-                max(fn.last_arrivals_ms, default=-math.inf) + REFRESH_LIFETIMES * self.settings.idle_life_ms
+                max(fn.last_arrivals_ms, default=-math.inf)
+                + REFRESH_LIFETIMES * self.settings.idle_lifetime_ms
             )
             # Half of the load rate limit is reserved for loads.
             if seen and refreshed_until_ms > self.now and self._load_rate_left() > len(self.load_orders_ms):
@@ -216,7 +217,7 @@
         if self._copies(fn, scorer) < copies:
             self._load(fn, scorer, is_warm=False)
             return
-        expires_ms = fn.copies_by_scorer[scorer.id].seen_ms + self.settings.idle_life_ms
+        expires_ms = fn.copies_by_scorer[scorer.id].seen_ms + self.settings.idle_lifetime_ms
         if expires_ms < self.now + 2 * REFRESH_MS:
             self.load_orders_ms.append(self.now)
             self._probe(fn, scorer, copies)
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -197,7 +197,7 @@
         """Bound on this front end's requests in flight at a scorer: a multiple of its fair share."""
         fair = (len(self.attempts) + 1) * self._size(scorer) / self.ready_size
         factor = FAR_BOUND_FACTOR if self._is_in_other_zone(scorer, fn) else NEAR_BOUND_FACTOR
-        return max(MIN_IN_FLIGHT_BOUND * self._warmth(scorer), factor * fair)
+        return max(MIN_IN_FLIGHT_BOUND * self._capacity_share(scorer), factor * fair)
 
     def _is_preferred(self, scorer: Scorer, fn: Function) -> bool:
         """Whether a scorer can take a call and its slowdown is not that of an outlier."""
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -105,7 +105,7 @@
 
     def _within_slow_start_limit(self, scorer: Scorer) -> bool:
         """Whether the slow start of a scorer allows one more request now."""
-        share = self._warmth(scorer)
+        share = self._capacity_share(scorer)
         window_ms = self.settings.slow_start_window_ms
         if share >= 1.0 or window_ms <= 0:  # the slow start is over, or there is no limit
             return True
@@ -208,7 +208,7 @@
         """Record a send at the current time for the limit of a scorer's slow start."""
         self._prune(scorer.recent_sends)
         scorer.recent_sends.append(self.now)
-        if self._warmth(scorer) < 1.0:
+        if self._capacity_share(scorer) < 1.0:
             scorer.slow_start_sends.append(self.now)
 
     def _prune(self, sends: deque[float]) -> None:
@@ -216,7 +216,7 @@
         while sends and sends[0] <= self.now - self.settings.slow_start_window_ms - TRANSIT_MARGIN_MS:
             sends.popleft()
 
-    def _warmth(self, scorer: Scorer) -> float:
+    def _capacity_share(self, scorer: Scorer) -> float:
         """The part of its full capacity that a scorer has by the slow start settings, from 0 to 1."""
         age = max(0.0, self.now - scorer.started_ms) / max(1.0, self.settings.slow_start_ms)
         initial = self.settings.slow_start_initial_share
@@ -224,4 +224,4 @@
 
     def _size(self, scorer: Scorer) -> float:
         """A ready scorer's size; in slow start it is reduced to the capacity at the time."""
-        return self.scorer_sizes[scorer.id] * self._warmth(scorer)
+        return self.scorer_sizes[scorer.id] * self._capacity_share(scorer)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -329,7 +329,7 @@
         if scorer_copies is None:
             return 0
         expired = (
-            scorer_copies.in_flight == 0 and self.now - scorer_copies.seen_ms > self.settings.idle_life_ms
+            scorer_copies.in_flight == 0 and self.now - scorer_copies.seen_ms > self.settings.idle_lifetime_ms
         )
         return 0 if expired or scorer_copies.seen_ms <= scorer.started_ms else scorer_copies.copies
 
--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -71,7 +71,7 @@
         """`sites` returns the zones that have a scorer accepting calls."""
         self.sites = sites
         self.bounds, self.watch, self.destination, self.belongs = bounds, watch, destination, belongs
-        self.idle_ms = site.idle_life_ms
+        self.idle_ms = site.idle_lifetime_ms
         self.fleet_size = site.fleet_size
         self.dropped = 0  # orders not queued because the queue was full
         self._queue: dict[tuple[str, str], None] = {}
--- a/fawnwharf/prefetch/fleet_model.py
+++ b/fawnwharf/prefetch/fleet_model.py
@@ -150,7 +150,7 @@
         since = now_ms - settings.load_window_ms
         self.arrivals_ms = [at for at in self.arrivals_ms if at > since]
         self.orders_ms = [at for at in self.orders_ms if at > since]
-        most = settings.free_loads + settings.load_part * len(self.arrivals_ms)
+        most = settings.free_loads + settings.loads_per_arrival * len(self.arrivals_ms)
         return most - len(self.orders_ms), most
 
     def spare_mb(self, now_ms: float, site: str) -> float:
@@ -220,7 +220,7 @@
 
     def _copy(self, now_ms: float, scorer: Scorer, row: str) -> Copy | None:
         copy = scorer.copies.get(row)
-        if copy is not None and now_ms > max(copy.used_ms, copy.ready_ms) + self.settings.idle_life_ms:
+        if copy is not None and now_ms > max(copy.used_ms, copy.ready_ms) + self.settings.idle_lifetime_ms:
             self._drop(scorer, copy)
             return None
         return copy
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -101,14 +101,14 @@
         found = self.takes(worker)
         if found is None:
             return 0.0
-        if self._warmth(found) >= 1.0:
+        if self._capacity_share(found) >= 1.0:
             return float("inf")
         return 1.0 if self._within_slow_start_limit(found) else 0.0
 
     def gave(self, now_ms: float, worker: int) -> None:
         """Count a call or load that was sent to a scorer, if the scorer is in slow start."""
         found = self.takes(worker)
-        if found and self._warmth(found) < 1.0:
+        if found and self._capacity_share(found) < 1.0:
             found.slow_start_sends.append(now_ms)
 
     def ration(self, orders: float | None, told: int) -> tuple[float, float]:
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -258,7 +258,7 @@
         return soon and old.renewed < self.settings.renewals
 
     def _copy_life_ms(self, facts: FunctionProfile) -> float:
-        return max(self.site.idle_life_ms, facts.load_ms)
+        return max(self.site.idle_lifetime_ms, facts.load_ms)
 
     def _price(
         self, demand: _Demand, facts: FunctionProfile, chance: float, site: str, view: PlannerView
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -55,8 +55,8 @@
         )
         self.plans.past = self.trend.past = self.learnt.past
         # Only a use within the idle life has value: a copy that is idle for longer may expire.
-        self.life_ms = max(site.idle_life_ms, bounds.beat_ms)
-        self.span_ms = max(PREDICTION_HORIZON_FRACTION * site.idle_life_ms, bounds.beat_ms)
+        self.life_ms = max(site.idle_lifetime_ms, bounds.beat_ms)
+        self.span_ms = max(PREDICTION_HORIZON_FRACTION * site.idle_lifetime_ms, bounds.beat_ms)
         self.best: str | None = None
         self.moves: list[PredictedMove] = []
 
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -25,7 +25,7 @@
     ) -> None:
         """Enable load reports in this core."""
         self._core, self._log_event = core, log_event
-        copy_lifetime_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
+        copy_lifetime_ms = min(core.settings.copy_lifetime_ms, settings.idle_lifetime_ms / 2)
         self.reporter = LoadReporter(settings.slow_start_ms, settings.slow_start_window_ms, copy_lifetime_ms)
         core.load_reporter = self.reporter
         self._fleet_size = settings.fleet_size
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -33,7 +33,7 @@
         self.chance, self.now = random.Random(seed), 0.0
         spec = io.ClassSpec("view", 800.0, 3_000.0, late_share=0.2)
         site = io.Settings(classes={"view": spec}, fleet_size=6, load_window_ms=5_000.0, free_loads=6.0)
-        site.load_part = 0.3
+        site.loads_per_arrival = 0.3
         self.staging = Staging("a", PrefetchSettings(), site, Prices(0.15, 0.16, 0.01))
         entries = [io.ScorerEntry(n, zone=SITES[n % 3]) for n in range(WORKERS)]
         self.staging.events(0.0, 1e9, [io.RosterChanged(entries, True)])
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -58,7 +58,9 @@
         self.site = self._own_zone()
         self.agent = self._made_agent(fresh)
         module = deployment.settings
-        self.stages = Stages(self._order, module.load_orders_allowed, module.idle_life_ms, self._is_loading)
+        self.stages = Stages(
+            self._order, module.load_orders_allowed, module.idle_lifetime_ms, self._is_loading
+        )
         self._wishes_file = WatchedFile(wishes_place(read, place, self.state.folder))
         self.wishes = Wishes()
         self._left = Left(self._wishes_file.path.with_name("homes"), made.get("kept"))
--- a/fawnwharf/sessions/stages.py
+++ b/fawnwharf/sessions/stages.py
@@ -42,7 +42,7 @@
         self,
         order: Callable[[str], Sequence[int]],
         may_order: bool,
-        idle_life_ms: float,
+        idle_lifetime_ms: float,
         under_way: Callable[[int, str], bool] | None = None,
     ) -> None:
         """`order` gives a function's scorers here that take calls, in the order of its calls.
@@ -51,7 +51,7 @@
         repeated after a second.
         """
         self.under_way, self._line = under_way, False  # whether some wait that the module did not order
-        self.order, self.may_order, self.life_ms = order, may_order, idle_life_ms
+        self.order, self.may_order, self.life_ms = order, may_order, idle_lifetime_ms
         self.wanted: dict[Key, _Wanted] = {}
         self.came: list[tuple[Key, bool]] = []  # what stands, or can't; whoever goes by it clears it
         self._rows: dict[str, set[Key]] = {}
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -88,7 +88,7 @@
         self.me, self.bounds = me, bounds
         self.scorers = ScorerView(site)
         self.functions = FunctionTable(bounds.sessions)
-        self.copies = CopyTable(self.scorers, self.functions, site.idle_life_ms)
+        self.copies = CopyTable(self.scorers, self.functions, site.idle_lifetime_ms)
         destination, rules = destination or self._next_zones, self.scorers.settings
         self.core = Prefetcher(bounds, rules, prices, me, ZoneRules(destination, place, belongs))
         self.ways = BaselineStrategies(
--- a/tests/net/test_net_load_orders.py
+++ b/tests/net/test_net_load_orders.py
@@ -49,7 +49,7 @@
 
 
 def test_an_order_leaves_the_load_rate_window_as_its_scorer_counts_it():
-    drive = Drive(4, load_window_ms=WINDOW_MS, free_loads=1.0, load_part=0.0)
+    drive = Drive(4, load_window_ms=WINDOW_MS, free_loads=1.0, loads_per_arrival=0.0)
     [first] = ordered(drive.answer_asks(drive.ask("first", "f")))
     ordered_ms = drive.now
     drive.count(first.scorer, 1, "f", io.AttemptResult.NOT_SENT)
--- a/tests/policy/test_policy_external_events.py
+++ b/tests/policy/test_policy_external_events.py
@@ -94,7 +94,7 @@
 
 
 def driver_with_zones(own="a", workers=6):
-    driver = Drive(workers=workers, zones=("a", "b", "c"), zone=own, idle_life_ms=IDLE_LIFETIME_MS)
+    driver = Drive(workers=workers, zones=("a", "b", "c"), zone=own, idle_lifetime_ms=IDLE_LIFETIME_MS)
     return driver, {entry.scorer: entry.zone for entry in driver.entries}
 
 
@@ -148,7 +148,7 @@
 
 
 def test_a_prefetched_copy_is_ordered_answered_and_used_by_the_first_call():
-    driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
+    driver = Drive(idle_lifetime_ms=IDLE_LIFETIME_MS)
     assert prefetch(driver, 3) == [(3, 1)]
     assert driver.router.loading == 1
     assert len(driver.router.load_orders_ms) == 1
@@ -164,7 +164,7 @@
 
 
 def prefetch_in_case(case):
-    settings = {"load_window_ms": 5000.0, "free_loads": 3.0, "idle_life_ms": IDLE_LIFETIME_MS}
+    settings = {"load_window_ms": 5000.0, "free_loads": 3.0, "idle_lifetime_ms": IDLE_LIFETIME_MS}
     if case == "orders off":
         settings["load_orders_allowed"] = False
     if case == "slow start":
@@ -236,7 +236,7 @@
 
 
 def test_a_prefetched_copy_is_refreshed_before_it_expires_and_a_failed_load_blocks_the_scorer():
-    driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
+    driver = Drive(idle_lifetime_ms=IDLE_LIFETIME_MS)
     prefetch(driver, 2)
     driver.count(2, 1)
     driver.now += IDLE_LIFETIME_MS - 2500.0
@@ -250,14 +250,14 @@
     driver.now += IDLE_LIFETIME_MS + 1.0
     assert prefetch(driver, 2) == [(2, 1)]
     assert driver.router.loading == 1
-    before = driver.router.loads_limit
+    before = driver.router.load_limit
     driver.count(2, 0, ending=AttemptResult.ERROR)
     assert driver.router.loading == 0
-    assert driver.router.loads_limit < before
+    assert driver.router.load_limit < before
 
 
 def test_an_unused_prefetched_copy_does_not_switch_speculative_loads_off():
-    driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
+    driver = Drive(idle_lifetime_ms=IDLE_LIFETIME_MS)
     prefetch(driver, 3)
     driver.count(3, 1)
     driver.now += 900.0  # several run times
@@ -266,13 +266,13 @@
 
 
 def test_a_prefetched_function_that_is_never_called_is_handed_over_and_later_forgotten():
-    driver = Drive(idle_life_ms=1e9)
+    driver = Drive(idle_lifetime_ms=1e9)
     prefetch(driver, 2)
     driver.count(2, 1)
     driver.feed(io.PrefetchRequested(2, "g", "safe"))
     driver.count(2, 1, "g")
     changes = learned_state.capture(driver.router, set(), driver.now, 0.0)
-    other = Drive(idle_life_ms=1e9).router
+    other = Drive(idle_lifetime_ms=1e9).router
     learned_state.restore(other, changes, 1000.0, 0.0)
     assert other._copies(other.functions["f"], other.scorers[2]) == 1
     for _ in range(61):
--- a/tests/policy/test_policy_releases.py
+++ b/tests/policy/test_policy_releases.py
@@ -27,7 +27,7 @@
         more = {
             "max_attempts": 3,
             "free_loads": FREE_LOADS,
-            "load_part": LOAD_PART,
+            "loads_per_arrival": LOAD_PART,
             "load_window_ms": WINDOW_MS,
         }
         self.router = Router(io.Settings({"view": SPEC}, **{**more, **settings}), seed)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_release_of_all_functions_keeps_the_load_rate_limit_in_every_window(seed):
-    world = World(seed, idle_life_ms=8_000.0)
+    world = World(seed, idle_lifetime_ms=8_000.0)
     world.run(12_000.0)
     world.release()
     world.run(18_000.0)
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_prefetches_refreshes_and_releases_in_the_first_seconds_keep_the_load_rate_limit(seed):
-    world = World(seed, idle_life_ms=4_000.0)
+    world = World(seed, idle_lifetime_ms=4_000.0)
     for step in range(60):
         world.run(100.0 * step)
         scorer, fn = 1 + step % SCORERS, f"f{step % FUNCTIONS}"
@@ -153,7 +153,7 @@
 
 
 def test_without_arrivals_only_the_free_loads_are_ordered():
-    driver = Drive(load_window_ms=WINDOW_MS, free_loads=3.0, load_part=LOAD_PART)
+    driver = Drive(load_window_ms=WINDOW_MS, free_loads=3.0, loads_per_arrival=LOAD_PART)
     loads = []
     for n in range(20):
         driver.now += 10.0
--- a/tests/policy/test_policy_remote_load.py
+++ b/tests/policy/test_policy_remote_load.py
@@ -26,7 +26,7 @@
 )
 def test_a_copy_that_others_reported_serves_is_probed_or_expires(age_ms, what):
     for known in (True, False):
-        driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
+        driver = Drive(idle_lifetime_ms=IDLE_LIFETIME_MS)
         driver.now = 50_000.0
         if known:
             driver.feed(io.PrefetchRequested(1, "f", "safe"))
--- a/tests/policy/test_policy_replay.py
+++ b/tests/policy/test_policy_replay.py
@@ -36,7 +36,8 @@
 SETTINGS = {
     "narrow": (
         {"workers": 8, "zones": 2, "functions": 60, "rps": 45.0},
-        {"max_attempts": 3, "fleet_size": 2, "load_window_ms": 5000.0, "free_loads": 20.0, "load_part": 0.1},
+        {"max_attempts": 3, "fleet_size": 2, "load_window_ms": 5000.0,
+         "free_loads": 20.0, "loads_per_arrival": 0.1},
     ),
     "crowded": (
         {"workers": 4, "zones": 1, "functions": 8, "rps": 25.0, "run_ms": 120.0},
@@ -51,11 +52,11 @@
         {"workers": 24, "zones": 3, "functions": 15, "rps": 25.0,
          "reports_concurrency": True, "fault_share": 0.02},
         {"max_attempts": 4, "fleet_size": 80, "quotas_rps": {"t0": 1500.0, "t1": 500.0},
-         "load_window_ms": 4000.0, "free_loads": 12.0, "load_part": 0.2},
+         "load_window_ms": 4000.0, "free_loads": 12.0, "loads_per_arrival": 0.2},
     ),
     "restless": (
         {"workers": 9, "zones": 3, "functions": 90, "rps": 25.0, "roster_share": 0.02, "pause_ms": 40_000.0},
-        {"max_attempts": 3, "fleet_size": 3, "cancellation_allowed": False, "idle_life_ms": 4000.0,
+        {"max_attempts": 3, "fleet_size": 3, "cancellation_allowed": False, "idle_lifetime_ms": 4000.0,
          "slow_start_ms": 20_000.0, "slow_start_window_ms": 1500.0, "hedging": False},
     ),
 }  # fmt: skip
--- a/tests/policy/test_policy_roster_lease.py
+++ b/tests/policy/test_policy_roster_lease.py
@@ -142,7 +142,7 @@
     [query] = queries(driver.ask("r2"))
     driver.count(warm_scorer, 0, query.function)
     assert driver.router.lease_counters.suspected_restarts == 1
-    assert driver.router._warmth(driver.router.scorers[warm_scorer]) < 0.3
+    assert driver.router._capacity_share(driver.router.scorers[warm_scorer]) < 0.3
 
 
 def test_a_connection_reset_while_the_change_log_is_out_of_reach_leads_to_a_slow_start():
--- a/tests/policy/test_policy_router.py
+++ b/tests/policy/test_policy_router.py
@@ -106,7 +106,7 @@
 
 def test_a_copy_about_to_expire_is_refreshed_a_few_times_and_not_in_a_shortage():
     for is_short in (False, True):
-        driver = Drive(idle_life_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
+        driver = Drive(idle_lifetime_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
         warm_scorer, last = driver.warm(), driver.now
         if is_short:
             driver.ask("queued", "g", budget=90_000.0)
@@ -121,7 +121,7 @@
 
 
 def test_refreshes_leave_half_of_the_load_rate_limit_to_loads():
-    driver = Drive(idle_life_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
+    driver = Drive(idle_lifetime_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
     homes = {}
     for n in range(6):
         driver.now += 1000.0
@@ -217,7 +217,7 @@
 
 
 def test_a_copy_is_not_assumed_after_its_idle_lifetime():
-    driver = Drive(idle_life_ms=5000.0)
+    driver = Drive(idle_lifetime_ms=5000.0)
     driver.warm()
     driver.now += 5001
     assert len(of(driver.ask("r1"), io.OrderCopies)) > 1  # not only the previous one
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -145,7 +145,7 @@
 
 
 def test_the_load_rate_limit_allows_exactly_its_number_of_loads():
-    driver = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
+    driver = Drive(load_window_ms=5000.0, free_loads=2.0, loads_per_arrival=0.2)
     for n in range(9):
         driver.answer_asks(driver.ask(f"r{n}", fn=f"f{n}"))
     loads = [a for _, a in driver.log if isinstance(a, io.OrderCopies) and a.copies]
@@ -178,16 +178,16 @@
 
 def test_slow_loads_lower_the_limit_on_loads_in_progress_and_timely_ones_raise_it():
     driver = Drive()
-    start = driver.router.loads_limit
+    start = driver.router.load_limit
     loads = of(driver.answer_asks(driver.ask("r1", load_ms=100.0)), io.OrderCopies)
     driver.now += 1000
     driver.count(loads[0].scorer, 1)
-    low = driver.router.loads_limit
+    low = driver.router.load_limit
     loads = of(driver.answer_asks(driver.ask("r2", fn="g")), io.OrderCopies)
     driver.now += 200
     driver.count(loads[0].scorer, 1, "g")
     assert low < start
-    assert driver.router.loads_limit > low
+    assert driver.router.load_limit > low
 
 
 def test_a_request_with_little_time_is_rejected_before_the_next_sweep():
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -311,7 +311,7 @@
     driver.now += 200.0
     driver.router._suspect(driver.router.scorers[1])
     driver.count(1, 0, "g0")
-    assert driver.router._warmth(driver.router.scorers[1]) < 1.0
+    assert driver.router._capacity_share(driver.router.scorers[1]) < 1.0
     assert len(driver.router.scorers[1].slow_start_sends) == 1
 
 
--- a/tests/prefetch/test_prefetch_planner.py
+++ b/tests/prefetch/test_prefetch_planner.py
@@ -20,7 +20,7 @@
 from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
 SPEC = ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, priority_weight=1.0, late_share=0.2)
-SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_life_ms=9_300.0)
+SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_lifetime_ms=9_300.0)
 PRICES = Prices(origin=0.15, waste=0.16, probe=0.01)
 FACTS = FunctionProfile("view", 400.0, 900.0, 100.0)
 S = Bounds(least=30, copies=1)
@@ -137,7 +137,7 @@
     rng = random.Random(seed)
     bounds = Bounds(fetches_ps=fetches, pace_ps=3.0, copies=2)
     names = tuple(f"n{n}" for n in range(front_ends))
-    site = Settings(classes={"view": SPEC}, fleet_size=front_ends, idle_life_ms=9_300.0)
+    site = Settings(classes={"view": SPEC}, fleet_size=front_ends, idle_lifetime_ms=9_300.0)
     plans = {name: Planner(bounds, site, PRICES, PredictionScores(bounds)) for name in names}
     issued: dict[str, list[float]] = {name: [] for name in names}
     held_mb = {"s": 0.0, "t": 0.0}
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -15,7 +15,9 @@
 
 def rules(**changes):
     """Site settings, with `changes`."""
-    fields = dict(classes={"view": SPEC}, fleet_size=3, load_window_ms=5_000.0, free_loads=6.0, load_part=0.3)
+    fields = dict(
+        classes={"view": SPEC}, fleet_size=3, load_window_ms=5_000.0, free_loads=6.0, loads_per_arrival=0.3
+    )
     return io.Settings(**(fields | changes))
 
 
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -281,7 +281,7 @@
             for router in self.routers:
                 router.handle(self.now, [])
                 for scorer in router.ready:
-                    while router._warmth(scorer) < 1.0 and router._within_slow_start_limit(scorer):
+                    while router._capacity_share(scorer) < 1.0 and router._within_slow_start_limit(scorer):
                         scorer.slow_start_sends.append(self.now)
                         self.sends[scorer.id].append(self.now)
             for scorer, sends in self.sends.items():
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -32,7 +32,7 @@
 
 def staged(budgets, later=None, **changes):
     """What is ordered for a drain of eight sessions, by budgets from the start, and later ones."""
-    one, calls = staging(load_part=2.0, **changes), Calls()
+    one, calls = staging(loads_per_arrival=2.0, **changes), Calls()
     one.go_by(budgets)
     drained_site(one, calls, [f"f{n}" for n in range(8)])
     found = wanted(look(one, 6_000.0))
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -119,7 +119,7 @@
 
 
 def test_copies_stand_by_answers_and_words_until_they_lapse_or_their_scorer_starts_anew():
-    one, calls = staging(idle_life_ms=9_000.0), Calls()
+    one, calls = staging(idle_lifetime_ms=9_000.0), Calls()
     one.events(0.0, UNIX, calls.events("f1", "s"))
     one.events(0.0, UNIX, [io.LoadOrderAnswered(4, "f1", io.AttemptResult.GOOD, 2, 800.0)])
     one.events(500.0, UNIX, [io.RemoteLoadReport(7, copies={"f2": 1}, age_ms=400.0)])
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -17,7 +17,7 @@
 
 
 def test_what_is_to_come_is_ordered_once_at_the_first_scorers_of_the_site_within_the_ration():
-    one, calls = staging(load_part=0.5), Calls()
+    one, calls = staging(loads_per_arrival=0.5), Calls()
     drained_site(one, calls, [f"f{n}" for n in range(4)])
     found = [beat for second in range(5, 14) for beat in look(one, 1_000.0 * second)]
     orders = wanted(found)
@@ -28,7 +28,7 @@
     want = next(want for beat in found for want in beat.wanted)
     assert (want.class_name, want.copies, want.lanes, want.load_ms) == ("view", 1, 1, 900.0)
     assert [move for beat in found for move in beat.moves or ()]
-    poor, calls = staging(free_loads=1.0, load_part=0.0), Calls()
+    poor, calls = staging(free_loads=1.0, loads_per_arrival=0.0), Calls()
     drained_site(poor, calls, ["f1"])
     assert not [w for second in range(5, 14) for w in wanted(look(poor, 1_000.0 * second))]
     assert poor.core.planner.skipped["no ration left"] > 0  # half of it is left to calls
@@ -36,7 +36,7 @@
 
 def test_a_stage_that_did_not_stand_is_nobody_s_fault_and_one_that_nobody_used_is_let_go():
     bounds = msgspec.structs.replace(S, renewals=0)
-    one, calls = staging(bounds=bounds, load_part=0.5), Calls()
+    one, calls = staging(bounds=bounds, loads_per_arrival=0.5), Calls()
     drained_site(one, calls, ["f1", "f2"])
     orders = [w for second in range(5, 12) for w in wanted(look(one, 1_000.0 * second))]
     (lost, worker), (row, other) = orders
@@ -85,7 +85,7 @@
 
     def __init__(self, keepers, others):
         self.keepers, self.alive = list(keepers), [*keepers, *others]
-        self.members = {name: staging(name, load_part=0.5) for name in self.alive}
+        self.members = {name: staging(name, loads_per_arrival=0.5) for name in self.alive}
         self.calls, self.orders, self.now, self.lines = Calls(), [], 0.0, []
 
     def second(self, calling):
