--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -143,7 +143,7 @@
 # --- the validated configuration, as the program uses it --------------------------------------
 
 
-class Wire(Struct, frozen=True):
+class ConnectionSettings(Struct, frozen=True):
     """The settings of connections and requests that the decision module does not need."""
 
     dial_timeout_ms: float = 250.0  # connection timeout to a scorer
@@ -173,8 +173,8 @@
 
     - `listen`: address for clients. `control`: address for operators. Both are numeric, as is `changelog`.
     - `memory_mb`, `sockets`: limits of the process on memory and on file descriptors.
-    - `known_seq`, `known_events`: the last sequence number and the events that the change log had sent when
-      the configuration was written.
+    - `initial_change_log_seq`, `initial_change_log_events`: the last sequence number and the events that the
+      change log had sent when the configuration was written.
     """
 
     name: str
@@ -183,10 +183,10 @@
     seed: int
     memory_mb: int
     sockets: int
-    known_seq: int
-    known_events: list[dict[str, Any]]
+    initial_change_log_seq: int = msgspec.field(name="known_seq")
+    initial_change_log_events: list[dict[str, Any]] = msgspec.field(name="known_events")
     settings: io.Settings
-    wire: Wire
+    wire: ConnectionSettings
     control: Address | None = None  # None: operators have no address
     costs: Costs = Costs()
 
@@ -289,11 +289,11 @@
     )
 
 
-def _connection_settings(parsed: _Settings) -> Wire:
+def _connection_settings(parsed: _Settings) -> ConnectionSettings:
     """The connection settings from the parsed settings."""
     bounds = parsed.bounds
     family = parsed.family
-    return Wire(
+    return ConnectionSettings(
         dial_timeout_ms=bounds.dial_timeout,
         keepalive_ms=bounds.keepalive,
         streams_per_conn=bounds.streams_per_conn,
@@ -353,8 +353,8 @@
         seed=_seed(parsed.seed),
         memory_mb=parsed.limits.memory_mb,
         sockets=parsed.limits.sockets,
-        known_seq=parsed.known.seq,
-        known_events=parsed.known.results,
+        initial_change_log_seq=parsed.known.seq,
+        initial_change_log_events=parsed.known.results,
         settings=_decision_settings(parsed.settings),
         wire=_connection_settings(parsed.settings),
         control=address_from(control, "control") if control else None,
--- a/fawnwharf/consensus/voter_store.py
+++ b/fawnwharf/consensus/voter_store.py
@@ -32,7 +32,7 @@
     encode_record,
     scan_records,
 )
-from fawnwharf.file_writes import sync_folder, write_all
+from fawnwharf.file_writes import sync_directory, write_all
 
 VERSION = 1  # of the identity, the first record; other records have no version
 REWRITE_ABOVE_BYTES = 1024 * 1024  # a save that would make the file larger replaces it
@@ -164,7 +164,7 @@
         os.lseek(self._file, len(records) - last_size, os.SEEK_SET)
         write_all(self._file, records[len(records) - last_size :])
         os.fsync(self._file)
-        sync_folder(self.folder)
+        sync_directory(self.folder)
 
     def save(self, saved: PersistentState) -> None:
         """Writes a state and returns when it is durable.
@@ -198,7 +198,7 @@
             write_all(self._file, data)
             os.fsync(self._file)
             os.rename(replacement, self.path)
-            sync_folder(self.folder)
+            sync_directory(self.folder)
         except OSError:
             self._close_file()
             raise
--- a/fawnwharf/durable_store/folder.py
+++ b/fawnwharf/durable_store/folder.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.file_writes import sync_folder, write_all
+from fawnwharf.file_writes import sync_directory, write_all
 
 LOCK_FILE = "durable.lock"
 LOCK_RETRY_S = 0.02  # interval of attempts while another process holds the lock
@@ -44,9 +44,9 @@
         if new.endswith(".snap"):
             self._close(new)
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the folder itself, and so all creations, renames and removals, to disk."""
-        sync_folder(self.path)
+        sync_directory(self.path)
 
     def remove(self, name: str) -> None:
         """Remove a file, if it exists."""
--- a/fawnwharf/durable_store/operations.py
+++ b/fawnwharf/durable_store/operations.py
@@ -76,7 +76,7 @@
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the folder itself, and so all creations, renames and removals, to disk."""
 
     def remove(self, name: str) -> None:
@@ -114,7 +114,7 @@
         case RenameFile(old, new):
             files.rename(old, new)
         case SyncFolder():
-            files.sync_folder()
+            files.sync_directory()
         case RemoveFile(name):
             files.remove(name)
 
--- a/fawnwharf/fakes/disks.py
+++ b/fawnwharf/fakes/disks.py
@@ -101,7 +101,7 @@
         self._names[new] = self._names.pop(old)
         self._changes.append({new: self._names[new], old: None})
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         self._step("folder")
         if not self._lies():
             self._kept, self._changes = dict(self._names), []
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -81,7 +81,7 @@
         self._files[new] = self._files.pop(old)
         self._changes.append({new: self._files[new], old: None})
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         self._place(self._changes)
         folder = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
         try:
--- a/fawnwharf/file_writes.py
+++ b/fawnwharf/file_writes.py
@@ -11,7 +11,7 @@
         unwritten = unwritten[os.write(file, unwritten) :]
 
 
-def sync_folder(path: Path) -> None:
+def sync_directory(path: Path) -> None:
     """Syncs a directory to disk, so that created, renamed and removed files are durable. Raises OSError."""
     folder = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
@@ -33,4 +33,4 @@
     finally:
         os.close(file)
     os.replace(temporary, path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -279,7 +279,7 @@
 
         A single malformed event is skipped, because refusing to start would do more harm.
         """
-        events = self.deployment.known_events
+        events = self.deployment.initial_change_log_events
         applied = [self.change_log.event(event, known=True) for event in events]
         malformed = [event for event, is_applied in zip(events, applied, strict=True) if not is_applied]
         for event in malformed:
@@ -290,7 +290,7 @@
             # The first event, which is the complete list, has to be read from the change log.
             self.change_log.seq = 0
         else:
-            self.change_log.seq = max(self.change_log.seq, self.deployment.known_seq)
+            self.change_log.seq = max(self.change_log.seq, self.deployment.initial_change_log_seq)
 
     def _wait_for_roster(self) -> None:
         """Report not ready while no scorer in service is known, as every request would be rejected.
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.config import Wire
+from fawnwharf.config import ConnectionSettings
 from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.scorer_pool import ScorerPool
@@ -108,7 +108,7 @@
         self,
         loop: EventLoop,
         pool: ScorerPool,
-        wire: Wire,
+        wire: ConnectionSettings,
         classes: Mapping[str, io.ClassSpec] = MappingProxyType({}),
     ) -> None:
         """`classes` has the specifications by class name; requests of an unknown class must not run twice."""
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from fawnwharf.config import Address, Wire
+from fawnwharf.config import Address, ConnectionSettings
 from fawnwharf.interface import ScorerState, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
@@ -84,7 +84,9 @@
 class ScorerPool:
     """Owns the scorers and their connections, within its share of the descriptors."""
 
-    def __init__(self, loop: EventLoop, wire: Wire, max_connections: int, seed: int, log: LogWriter) -> None:
+    def __init__(
+        self, loop: EventLoop, wire: ConnectionSettings, max_connections: int, seed: int, log: LogWriter
+    ) -> None:
         self.loop = loop
         self.wire = wire
         self.log = log
@@ -170,7 +172,7 @@
             self._time_out(attempt)
 
     def send_load_order(self, order: LoadOrder) -> None:
-        """Send a load order to its scorer; it ends after `Wire.load_wait_ms` at the latest."""
+        """Send a load order to its scorer; it ends after `ConnectionSettings.load_wait_ms` at the latest."""
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._time_out(order))
         self._start_or_queue(order)
@@ -211,7 +213,7 @@
             self._queue_until_connected(scorer, stream)
 
     def _queue_until_connected(self, scorer: Scorer, stream: Stream) -> None:
-        """Queue a stream until a connection is established, for `Wire.dial_timeout_ms` at most.
+        """Queue a stream until a connection is established, for `ConnectionSettings.dial_timeout_ms` at most.
 
         A dial started for it here times out first, so that the stream ends with the dial's end reason.
         """
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -123,12 +123,14 @@
         {"gold": gold}, {"acme": 200.0}, 4, "z1", 2.5, True, False, False, False, 3, 1500.0, 11000.0, True,
         1200.0, 4.5, 0.125, 10250.0, 0.25, 1100.0, 2.25,
     )  # fmt: skip
-    assert found.wire == config.Wire(275.0, 16500.0, 33, 20001, 10500.0, True, 0.01, frozenset({"acme"}))
+    assert found.wire == config.ConnectionSettings(
+        275.0, 16500.0, 33, 20001, 10500.0, True, 0.01, frozenset({"acme"})
+    )
     assert found.costs == config.Costs(0.02, 0.03, 0.04, 0.0625)
     assert (found.name, found.seed, found.memory_mb, found.sockets) == ("fe-7", 31, 256, 2048)
     assert found.listen == ("127.0.0.1", 7901) and found.changelog == ("127.0.0.1", 7900)
     assert found.control == ("127.0.0.1", 7902)
-    assert found.known_seq == 3 and found.known_events == data["known"]["results"]
+    assert found.initial_change_log_seq == 3 and found.initial_change_log_events == data["known"]["results"]
 
 
 def test_variables_of_the_environment_go_before_the_file():
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -260,7 +260,7 @@
 
 class Handshakes(unittest.TestCase):
     def may_spread(self, price):
-        wire = config.Wire(handshake_price=price)
+        wire = config.ConnectionSettings(handshake_price=price)
         return scorer_pool.ScorerPool(mock.Mock(), wire, 100, 1, mock.Mock())._may_spread()
 
     def test_scorer_connections_are_spread_only_if_a_handshake_is_cheap(self):
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -120,7 +120,7 @@
             files.begin("a")
             files.append("a", data[:30])
             files.sync("a")
-            files.sync_folder()
+            files.sync_directory()
             files.append("a", data[30:])
             files.rename("a", "b")
             files.tear(random.Random(seed), 0.5)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -123,7 +123,7 @@
         environment = {"ROUTER_LISTEN": "127.0.0.9:41", "ROUTER_NAME": "n3"}
         read = deployment_from(self.GOOD | {"name": None}, environment)
         self.assertEqual((read.listen, read.name, read.seed), (("127.0.0.9", 41), "n3", 0x8C1F))
-        self.assertEqual((read.memory_mb, read.sockets, read.known_seq), (192, 1024, 0))
+        self.assertEqual((read.memory_mb, read.sockets, read.initial_change_log_seq), (192, 1024, 0))
         self.assertEqual(read.wire.keepalive_ms, 15_000.0)
 
     def test_configuration_errors_name_their_key(self):
