--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -70,7 +70,7 @@
             and request_id not in self._used_ids
             and request_id not in self._answered_ids
         )
-        return has_capacity and is_unused and self.connection.waiting_bytes < MAX_UNWRITTEN_BYTES
+        return has_capacity and is_unused and self.connection.unwritten_bytes < MAX_UNWRITTEN_BYTES
 
     def idle_ms(self) -> float:
         """For how long it has had no open stream."""
@@ -138,7 +138,7 @@
                 self.pool.answered(stream, frame)
         if self._reader.fault:
             self.pool.log(f"scorer {self.scorer.id}: bad frame: {self._reader.fault}")
-            self.connection.close(EndReason.BAD_BYTES)
+            self.connection.close(EndReason.PROTOCOL_ERROR)
         elif self._reader.has_partial_frame and self._stall_timer is None:
             self._stall_timer = self.pool.loop.timers.after(STALL_MS, self._check_stall)
 
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from fawnwharf.config import Address, Wire
+from fawnwharf.config import Address, ConnectionSettings
 from fawnwharf.interface import ScorerState, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
@@ -84,13 +84,15 @@
 class ScorerPool:
     """Owns the scorers and their connections, within its share of the descriptors."""
 
-    def __init__(self, loop: EventLoop, wire: Wire, max_connections: int, seed: int, log: LogWriter) -> None:
+    def __init__(
+        self, loop: EventLoop, wire: ConnectionSettings, max_connections: int, seed: int, log: LogWriter
+    ) -> None:
         self.loop = loop
         self.wire = wire
         self.log = log
         self.scorers: dict[int, Scorer] = {}
         self.max_connections = max_connections
-        self._link_count = 0
+        self._connection_count = 0
         self._reuse_idle_limit_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
         self._reuse_idle_ms = self._reuse_idle_limit_ms  # a connection idle for longer is not reused
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
@@ -145,7 +147,7 @@
                 stream.buffer = None
                 unsent.append(stream)
             if link.up and not link.streams:
-                link.connection.close(EndReason.RETIRED)
+                link.connection.close(EndReason.SUPERSEDED)
         return unsent
 
     def _drop_if_empty(self, scorer: Scorer) -> None:
@@ -169,8 +171,8 @@
         else:
             self._time_out(attempt)
 
-    def start_load(self, order: LoadOrder) -> None:
-        """Send a load order to its scorer; it ends after `Wire.load_wait_ms` at the latest."""
+    def send_load_order(self, order: LoadOrder) -> None:
+        """Send a load order to its scorer; it ends after `ConnectionSettings.load_wait_ms` at the latest."""
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._time_out(order))
         self._start_or_queue(order)
@@ -211,7 +213,7 @@
             self._queue_until_connected(scorer, stream)
 
     def _queue_until_connected(self, scorer: Scorer, stream: Stream) -> None:
-        """Queue a stream until a connection is established, for `Wire.dial_timeout_ms` at most.
+        """Queue a stream until a connection is established, for `ConnectionSettings.dial_timeout_ms` at most.
 
         A dial started for it here times out first, so that the stream ends with the dial's end reason.
         """
@@ -235,7 +237,7 @@
     def _may_spread(self) -> bool:
         """Whether to dial connections for spreading; limits the load of many front ends on a scorer."""
         cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
-        return cheap and self._link_count < SPREAD_SHARE * self.max_connections
+        return cheap and self._connection_count < SPREAD_SHARE * self.max_connections
 
     def _dial(self, scorer: Scorer) -> None:
         """Start as many dials as the waiting streams need, unless a redial is scheduled."""
@@ -254,12 +256,12 @@
 
         Otherwise idle connections to some scorers would cause requests to others to be rejected.
         """
-        if self._link_count >= self.max_connections:
+        if self._connection_count >= self.max_connections:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
             idle = [link for link in links if link.up and not link.streams]
             if longest_idle := max(idle, key=ScorerConnection.idle_ms, default=None):
                 longest_idle.connection.close(EndReason.IDLE)
-        return self._link_count < self.max_connections
+        return self._connection_count < self.max_connections
 
     def _dial_later(self, scorer: Scorer) -> None:
         """Keep streams queued and dial again after a pause: a local error says nothing about the scorer."""
@@ -278,7 +280,7 @@
         link.connection = dialled
         dialled.limit_partial_writes(MAX_PARTIAL_WRITE_MS)
         scorer.links.append(link)
-        self._link_count += 1
+        self._connection_count += 1
         return None
 
     def _fail_waiting(self, scorer: Scorer, end: EndReason) -> None:
@@ -292,7 +294,7 @@
             link.scorer.redials = 0
             self._start_waiting(link.scorer)
         if link.retired and not link.streams:  # its scorer has gone or restarted during the dial
-            link.connection.close(EndReason.RETIRED)
+            link.connection.close(EndReason.SUPERSEDED)
 
     # --- ends ---------------------------------------------------------------------------------
 
@@ -300,7 +302,7 @@
         """Remove a connection that has ended; unwritten streams are moved to another one, the rest ends."""
         scorer = link.scorer
         scorer.links.remove(link)
-        self._link_count -= 1
+        self._connection_count -= 1
         idle_ms = link.stale_idle_ms(end, STALE_RESET_MS)
         if idle_ms is not None and idle_ms >= MIN_REUSE_IDLE_MS:
             decreased_ms = max(MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE * idle_ms)
@@ -341,7 +343,7 @@
         """End a stream as cancelled, whether or not it was sent."""
         if not stream.over:
             self._detach(stream)
-            self._end(stream, EndReason.CALLED_OFF)
+            self._end(stream, EndReason.CANCELLED)
 
     def cancel_unsent(self, stream: Stream) -> None:
         """End a stream as never sent, unless some of it has been written."""
@@ -374,7 +376,7 @@
         link, stream.link = stream.link, None
         stream.ended(stream, end, answer)
         if link and link.retired and not link.streams and link.up:
-            link.connection.close(EndReason.RETIRED)
+            link.connection.close(EndReason.SUPERSEDED)
 
     # --- maintenance --------------------------------------------------------------------------
 
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -58,7 +58,9 @@
         self.site = self._own_zone()
         self.agent = self._made_agent(fresh)
         module = deployment.settings
-        self.stages = Stages(self._order, module.load_orders_allowed, module.idle_life_ms, self._is_loading)
+        self.stages = Stages(
+            self._order, module.load_orders_allowed, module.idle_lifetime_ms, self._is_loading
+        )
         self._wishes_file = WatchedFile(wishes_place(read, place, self.state.folder))
         self.wishes = Wishes()
         self._left = Left(self._wishes_file.path.with_name("homes"), made.get("kept"))
@@ -232,7 +234,7 @@
         own order, so where one is in progress that is waited for.
         """
         if not self._is_loading(question.scorer, question.function):
-            self.front.requests.start_load(question)
+            self.front.requests.send_load_order(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
